--- a/fulmarlink/admission.cpp
+++ b/fulmarlink/admission.cpp
@@ -100,7 +100,7 @@
     const BlockedRunners blocked = state.targets.blocked(pool, {}, now);
     // Every host sends callers away at about the rate that this one does, and they come back at any host.
     const double serviceSeconds = std::chrono::duration<double>(state.pool(pool).serviceTime.mean()).count();
-    const double perSecond = (blocked.limitedPerSecond + blocked.slots / serviceSeconds) / state.signals.pacer.hosts();
+    const double perSecond = (blocked.limitedPerSecond + blocked.slots / serviceSeconds) / state.signals.pacer.hostCount();
     const Duration soonest = blocked.nextRoom ? *blocked.nextRoom - now : Duration(0);
     return state.pool(pool).returns.next(perSecond, soonest, now, state.random);
 }
--- a/fulmarlink/crashwatch.cpp
+++ b/fulmarlink/crashwatch.cpp
@@ -145,7 +145,7 @@
 
 void CrashWatch::take(SharedRecordsRead read)
 {
-    m_state.limitWatch->take(read);
+    m_state.limitWatch->applyRecords(read);
     for (CrashRecord &record : read.crashes) {
         take(std::move(record));
     }
--- a/fulmarlink/gateway.cpp
+++ b/fulmarlink/gateway.cpp
@@ -339,7 +339,7 @@
         m_signalWatch.sweep();
         if (m_clock.now() - m_droppedGone >= kDropGone) {
             m_droppedGone = m_clock.now();
-            m_limitWatch.dropGone();
+            m_limitWatch.removeUnlistedRunners();
             m_signalWatch.dropGone();
         }
         m_counters.set(m_requestsNow, m_state.exchanges);
--- a/fulmarlink/gatewayrelay.cpp
+++ b/fulmarlink/gatewayrelay.cpp
@@ -162,7 +162,7 @@
         const TimePoint now = m_state.clock.now();
         m_backoff = answer.backoff;
         m_toldLoad = answer.load;
-        m_state.limitWatch->answered(target, answer, m_attemptSent, m_facts.attemptId);
+        m_state.limitWatch->handleAnswer(target, answer, m_attemptSent, m_facts.attemptId);
         if (answer.load) {
             m_state.targets.loadReported(target.id, *answer.load, now);
         }
--- a/fulmarlink/limitpacer.cpp
+++ b/fulmarlink/limitpacer.cpp
@@ -3,7 +3,7 @@
 // that nothing accrues.
 //
 // A slot may be used late, and the next one begins in its own time all the same, so that the
-// whole share is used; but no sooner than an interval less kMostCredit after that, which is
+// whole share is used; but no sooner than an interval less kMaxCredit after that, which is
 // what bounds the requests of a short time where slots are long.
 
 #include "fulmarlink/limitpacer.h"
@@ -20,18 +20,18 @@
 namespace
 {
 
-constexpr double kMostCredit = 0.2; ///< of an interval
+constexpr double kMaxCredit = 0.2; ///< of an interval
 constexpr Duration kShortInterval = std::chrono::seconds(1); ///< the credit may be a burst up to here
-constexpr double kMostPerSecond = 1e5; ///< of one host; more than it can send
-constexpr double kNever = 1e-9; ///< requests a second below which a share counts as none
+constexpr double kMaxPerSecond = 1e5; ///< of one host; more than it can send
+constexpr double kMinShare = 1e-9; ///< requests a second below which a share counts as none
 
-Duration asDuration(double seconds)
+Duration durationFromSeconds(double seconds)
 {
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
 /** The order in which hosts come for a runner; the same on all hosts. */
-std::uint64_t weightOf(const std::string &host, const TargetLife &life)
+std::uint64_t rendezvousWeight(const std::string &host, const TargetLife &life)
 {
     const std::string key = host + '\n' + life.id + '\n' + std::to_string(life.born);
     return XXH3_64bits(key.data(), key.size());
@@ -44,37 +44,37 @@
 {
 }
 
-Duration LimitPacer::interval(const Limited &limited)
+Duration LimitPacer::interval(const PacedRunner &runner)
 {
-    return asDuration(1 / limited.share);
+    return durationFromSeconds(1 / runner.share);
 }
 
-Duration LimitPacer::lifeOfSlot(const Limited &limited) const
+Duration LimitPacer::slotLifetime(const PacedRunner &runner) const
 {
-    return std::max(std::min(interval(limited), m_options.slotLife), m_options.burst);
+    return std::max(std::min(interval(runner), m_options.maxSlotLifetime), m_options.burst);
 }
 
 /** Begin of the slot that may be used at @p now, or else of the next one. */
-TimePoint LimitPacer::slot(const Limited &limited, TimePoint now) const
+TimePoint LimitPacer::usableSlot(const PacedRunner &runner, TimePoint now) const
 {
-    const Duration late = now - limited.next - lifeOfSlot(limited);
+    const Duration late = now - runner.next - slotLifetime(runner);
     if (late < Duration(0)) {
-        return limited.next;
+        return runner.next;
     }
-    return limited.next + interval(limited) * (late / interval(limited) + 1);
+    return runner.next + interval(runner) * (late / interval(runner) + 1);
 }
 
 double LimitPacer::computeShare(const TargetLife &life, double perSecond) const
 {
-    const double rate = std::clamp(perSecond, m_options.leastPerSecond, kMostPerSecond);
+    const double rate = std::clamp(perSecond, m_options.minPerSecond, kMaxPerSecond);
     if (m_hosts.empty()) {
-        return rate / m_options.hostsUnknown;
+        return rate / m_options.assumedHosts;
     }
-    const double most = std::max<double>(m_options.fewSharers, rate);
+    const double most = std::max<double>(m_options.maxSharersAtLowRate, rate);
     const auto sharers = static_cast<std::size_t>(std::min<double>(static_cast<double>(m_hosts.size()), most));
-    const std::uint64_t own = weightOf(m_self, life);
+    const std::uint64_t own = rendezvousWeight(m_self, life);
     const auto before = static_cast<std::size_t>(std::ranges::count_if(m_hosts, [&](const std::string &host) {
-        return host != m_self && std::pair(weightOf(host, life), host) < std::pair(own, m_self);
+        return host != m_self && std::pair(rendezvousWeight(host, life), host) < std::pair(own, m_self);
     }));
     if (mutated(Mutation::WholeLimitEach)) {
         return rate;
@@ -83,20 +83,20 @@
 }
 
 /** What had passed of the time until the next slot stays passed, so that changes bring no slots of their own. */
-void LimitPacer::setShare(Limited &limited, double share, TimePoint now, Random &random) const
+void LimitPacer::setShare(PacedRunner &runner, double share, TimePoint now, Random &random) const
 {
-    const double before = limited.share;
+    const double before = runner.share;
     if (share == before) {
         return;
     }
-    const bool fresh = before < kNever;
-    const TimePoint next = fresh ? now : slot(limited, now);
-    limited.share = share;
-    if (share < kNever) {
+    const bool fresh = before < kMinShare;
+    const TimePoint next = fresh ? now : usableSlot(runner, now);
+    runner.share = share;
+    if (share < kMinShare) {
         return;
     }
     const double part = fresh ? std::uniform_real_distribution<double>(0, 1)(random) : std::chrono::duration<double>(next - now).count() * before;
-    limited.next = next <= now && !fresh ? now : now + asDuration(std::max(0.0, part) / share);
+    runner.next = next <= now && !fresh ? now : now + durationFromSeconds(std::max(0.0, part) / share);
 }
 
 void LimitPacer::setHosts(std::vector<std::string> hosts, const std::string &self, TimePoint now, Random &random)
@@ -106,76 +106,76 @@
         hosts.push_back(self);
     }
     m_hosts = std::move(hosts);
-    for (auto &[life, limited] : m_limited) {
-        setShare(limited, computeShare(life, limited.perSecond), now, random);
+    for (auto &[life, runner] : m_runners) {
+        setShare(runner, computeShare(life, runner.perSecond), now, random);
     }
 }
 
 void LimitPacer::setLimit(const TargetLife &life, double perSecond, TimePoint now, Random &random)
 {
-    Limited &limited = m_limited[life];
-    limited.perSecond = perSecond;
-    setShare(limited, computeShare(life, perSecond), now, random);
+    PacedRunner &runner = m_runners[life];
+    runner.perSecond = perSecond;
+    setShare(runner, computeShare(life, perSecond), now, random);
 }
 
-void LimitPacer::clear(const TargetLife &life)
+void LimitPacer::removeLimit(const TargetLife &life)
 {
-    m_limited.erase(life);
+    m_runners.erase(life);
 }
 
-bool LimitPacer::hasRoom(const TargetLife &life, TimePoint now) const
+bool LimitPacer::canSend(const TargetLife &life, TimePoint now) const
 {
-    const auto next = nextRoom(life, now);
+    const auto next = nextSendTime(life, now);
     return next && *next <= now;
 }
 
-std::optional<TimePoint> LimitPacer::nextRoom(const TargetLife &life, TimePoint now) const
+std::optional<TimePoint> LimitPacer::nextSendTime(const TargetLife &life, TimePoint now) const
 {
-    const auto it = m_limited.find(life);
-    if (it == m_limited.end() || mutated(Mutation::IgnoreLimits)) {
+    const auto it = m_runners.find(life);
+    if (it == m_runners.end() || mutated(Mutation::IgnoreLimits)) {
         return now;
     }
-    if (it->second.share < kNever) {
+    if (it->second.share < kMinShare) {
         return std::nullopt;
     }
-    return std::max(now, slot(it->second, now));
+    return std::max(now, usableSlot(it->second, now));
 }
 
-bool LimitPacer::take(const TargetLife &life, TimePoint now)
+bool LimitPacer::tryAcquire(const TargetLife &life, TimePoint now)
 {
-    if (!hasRoom(life, now)) {
+    if (!canSend(life, now)) {
         return false;
     }
-    const auto it = m_limited.find(life);
-    if (it == m_limited.end() || it->second.share < kNever) {
+    const auto it = m_runners.find(life);
+    if (it == m_runners.end() || it->second.share < kMinShare) {
         return true;
     }
     const Duration every = interval(it->second);
-    const Duration credit = every <= kShortInterval ? m_options.burst : std::chrono::duration_cast<Duration>(every * kMostCredit);
-    it->second.next = std::max(slot(it->second, now) + every, now + every - credit);
+    const Duration credit = every <= kShortInterval ? m_options.burst : std::chrono::duration_cast<Duration>(every * kMaxCredit);
+    it->second.next = std::max(usableSlot(it->second, now) + every, now + every - credit);
     return true;
 }
 
 std::optional<double> LimitPacer::shareOf(const TargetLife &life) const
 {
-    const auto it = m_limited.find(life);
-    return it == m_limited.end() ? std::nullopt : std::optional(it->second.share);
+    const auto it = m_runners.find(life);
+    return it == m_runners.end() ? std::nullopt : std::optional(it->second.share);
 }
 
 double LimitPacer::limitOf(const TargetLife &life) const
 {
-    const auto it = m_limited.find(life);
-    return it == m_limited.end() ? 0 : std::max(it->second.perSecond, m_options.leastPerSecond);
+    const auto it = m_runners.find(life);
+    return it == m_runners.end() ? 0 : std::max(it->second.perSecond, m_options.minPerSecond);
 }
 
-bool LimitPacer::any() const
+bool LimitPacer::hasLimits() const
 {
-    return !m_limited.empty();
+    return !m_runners.empty();
 }
 
-unsigned LimitPacer::hosts() const
+unsigned LimitPacer::hostCount() const
 {
-    return m_hosts.empty() ? m_options.hostsUnknown : static_cast<unsigned>(m_hosts.size());
+    return m_hosts.empty() ? m_options.assumedHosts : static_cast<unsigned>(m_hosts.size());
 }
 
 } // namespace fulmarlink
--- a/fulmarlink/limitpacer.h
+++ b/fulmarlink/limitpacer.h
@@ -12,10 +12,10 @@
 {
 
 struct LimitPacerOptions {
-    unsigned fewSharers = 5; ///< hosts that share a limit at most, or as many as it has requests a second
-    double leastPerSecond = 0.1; ///< of all hosts, where a runner takes less: who never sends never learns that the limit has ended
-    unsigned hostsUnknown = 16; ///< assumed while the list of hosts has not been read
-    Duration slotLife = std::chrono::seconds(4); ///< a slot that no request has used by then is lost; sooner where the next one begins sooner
+    unsigned maxSharersAtLowRate = 5; ///< hosts that share a limit at most, or as many as it has requests a second
+    double minPerSecond = 0.1; ///< of all hosts, where a runner takes less: who never sends never learns that the limit has ended
+    unsigned assumedHosts = 16; ///< assumed while the list of hosts has not been read
+    Duration maxSlotLifetime = std::chrono::seconds(4); ///< a slot that no request has used by then is lost; sooner where the next one begins sooner
     Duration burst = std::chrono::milliseconds(500); ///< slots of so long may be used at once, where a host has several in it
 };
 
@@ -32,7 +32,7 @@
  * 4 s at most 1.5 times that + 5, whatever the hosts' phases are. Slots that pass unused are
  * lost: a host that was idle, frozen or away has one at most, or those of `burst`.
  *
- * Contract: pure; not thread-safe; hasRoom() and take() are O(log n) in the limited runners.
+ * Contract: pure; not thread-safe; canSend() and tryAcquire() are O(log n) in the runner runners.
  */
 class LimitPacer
 {
@@ -42,39 +42,39 @@
     /** The hosts that live, with or without @p self; empty: not known. */
     void setHosts(std::vector<std::string> hosts, const std::string &self, TimePoint now, Random &random);
     void setLimit(const TargetLife &life, double perSecond, TimePoint now, Random &random);
-    void clear(const TargetLife &life);
+    void removeLimit(const TargetLife &life);
 
     /** Whether this host may send a request there now; always where no limit is known. */
-    bool hasRoom(const TargetLife &life, TimePoint now) const;
+    bool canSend(const TargetLife &life, TimePoint now) const;
     /** The same, and uses the room up. */
-    bool take(const TargetLife &life, TimePoint now);
+    bool tryAcquire(const TargetLife &life, TimePoint now);
     /** When this host may send there again: @p now if it may at once; nothing if it leaves the runner out. */
-    std::optional<TimePoint> nextRoom(const TargetLife &life, TimePoint now) const;
+    std::optional<TimePoint> nextSendTime(const TargetLife &life, TimePoint now) const;
     /** Of this host, in requests a second; nothing if no limit is known. */
     std::optional<double> shareOf(const TargetLife &life) const;
     /** As the runner named it, or the least that it gets; 0 if no limit is known. */
     double limitOf(const TargetLife &life) const;
-    bool any() const;
+    bool hasLimits() const;
     /** Hosts that live, as far as is known. */
-    unsigned hosts() const;
+    unsigned hostCount() const;
 
 private:
-    struct Limited {
+    struct PacedRunner {
         double perSecond = 0; ///< of all hosts
         double share = 0; ///< of this host
         TimePoint next{}; ///< when the next slot begins
     };
 
-    static Duration interval(const Limited &limited);
-    Duration lifeOfSlot(const Limited &limited) const;
-    TimePoint slot(const Limited &limited, TimePoint now) const;
+    static Duration interval(const PacedRunner &runner);
+    Duration slotLifetime(const PacedRunner &runner) const;
+    TimePoint usableSlot(const PacedRunner &runner, TimePoint now) const;
     double computeShare(const TargetLife &life, double perSecond) const;
-    void setShare(Limited &limited, double share, TimePoint now, Random &random) const;
+    void setShare(PacedRunner &runner, double share, TimePoint now, Random &random) const;
 
     const LimitPacerOptions m_options;
     std::vector<std::string> m_hosts; ///< this one included; empty: not known
     std::string m_self;
-    std::map<TargetLife, Limited> m_limited;
+    std::map<TargetLife, PacedRunner> m_runners;
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/limitwatch.cpp
+++ b/fulmarlink/limitwatch.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-constexpr std::size_t kMaxMalformed = 1000; ///< lives remembered, so that each is told of once
+constexpr std::size_t kMaxLoggedMalformed = 1000; ///< lives remembered, so that each is told of once
 constexpr Duration kStoreRetry = std::chrono::milliseconds(250); ///< as for the other calls of the store
 
 std::chrono::milliseconds unixNow()
@@ -32,9 +32,9 @@
     , m_state(state)
     , m_platform(platform)
     , m_wake(context, asio::steady_timer::time_point::max())
-    , m_limited(state.counters.registerCounter("fulmarlink_limited_runners"))
-    , m_malformedLimits(state.counters.registerCounter("fulmarlink_malformed_limits_total"))
-    , m_unwrittenLimits(state.counters.registerCounter("fulmarlink_limit_records_waiting"))
+    , m_limitedRunnerCount(state.counters.registerCounter("fulmarlink_limited_runners"))
+    , m_malformedLimitCount(state.counters.registerCounter("fulmarlink_malformed_limits_total"))
+    , m_pendingRecordCount(state.counters.registerCounter("fulmarlink_limit_records_waiting"))
 {
 }
 
@@ -45,77 +45,77 @@
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-void LimitWatch::answered(const TargetInfo &target, const RunnerAnswer &answer, TimePoint sent, const std::string &attempt)
+void LimitWatch::handleAnswer(const TargetInfo &target, const RunnerAnswer &answer, TimePoint sent, const std::string &attempt)
 {
     const TargetLife life{target.id, target.born};
     if (!answer.malformedLimit.empty()) {
         noteMalformed(life, answer.malformedLimit);
         return;
     }
-    const bool ownWord = answer.speaksForTarget && (answer.requestLimit || (answer.sealed && !answer.attemptId.empty()));
-    if (!ownWord) {
+    const bool authoritative = answer.speaksForTarget && (answer.requestLimit || (answer.sealed && !answer.attemptId.empty()));
+    if (!authoritative) {
         return;
     }
-    const NamedLimit *known = m_state.signals.limits.find(life);
-    const NamedLimit before = known == nullptr ? NamedLimit{} : *known;
-    const LimitEvidence evidence{answer.requestLimit, sent, m_state.clock.now(), attempt};
-    const LimitChange change = m_state.signals.limits.answered(life, evidence);
+    const RunnerLimit *current = m_state.signals.limits.find(life);
+    const RunnerLimit before = current == nullptr ? RunnerLimit{} : *current;
+    const LimitObservation observation{answer.requestLimit, sent, m_state.clock.now(), attempt};
+    const LimitChange change = m_state.signals.limits.applyAnswer(life, observation);
     noteChange(life, change, before);
     if (change != LimitChange::None) {
-        queue(life);
+        queueRecord(life);
     }
 }
 
-void LimitWatch::take(const SharedRecordsRead &read)
+void LimitWatch::applyRecords(const SharedRecordsRead &read)
 {
     std::set<TargetLife> present;
     for (const LimitRecord &record : read.limits) {
         present.insert(record.life);
-        m_recorded[record.life] = record.perSecond;
-        const NamedLimit *known = m_state.signals.limits.find(record.life);
-        const bool own = record.host == m_state.settings.host && known != nullptr;
-        if (own || m_unwritten.contains(record.life)) {
+        m_storedLimits[record.life] = record.perSecond;
+        const RunnerLimit *current = m_state.signals.limits.find(record.life);
+        const bool ownRecord = record.host == m_state.settings.host && current != nullptr;
+        if (ownRecord || m_pendingRecords.contains(record.life)) {
             continue; // this host knows more than the record
         }
-        const NamedLimit before = known == nullptr ? NamedLimit{} : *known;
-        noteChange(record.life, m_state.signals.limits.told(record.life, record.perSecond, record.host, m_state.clock.now()), before);
+        const RunnerLimit before = current == nullptr ? RunnerLimit{} : *current;
+        noteChange(record.life, m_state.signals.limits.applyRecord(record.life, record.perSecond, record.host, m_state.clock.now()), before);
     }
     for (const TargetLife &life : read.limitsEnded) {
-        end(life);
+        handleRemovedRecord(life);
     }
     if (!read.whole) {
         return;
     }
-    const std::map<TargetLife, double> recorded = m_recorded;
-    for (const auto &[life, perSecond] : recorded) {
+    const std::map<TargetLife, double> stored = m_storedLimits;
+    for (const auto &[life, perSecond] : stored) {
         if (!present.contains(life)) {
-            end(life);
+            handleRemovedRecord(life);
         }
     }
 }
 
 /** Its record is gone from the store. */
-void LimitWatch::end(const TargetLife &life)
+void LimitWatch::handleRemovedRecord(const TargetLife &life)
 {
-    m_recorded.erase(life);
-    const NamedLimit *known = m_state.signals.limits.find(life);
-    if (known == nullptr || m_unwritten.contains(life)) {
+    m_storedLimits.erase(life);
+    const RunnerLimit *current = m_state.signals.limits.find(life);
+    if (current == nullptr || m_pendingRecords.contains(life)) {
         return;
     }
-    const NamedLimit before = *known;
-    noteChange(life, m_state.signals.limits.ended(life), before);
+    const RunnerLimit before = *current;
+    noteChange(life, m_state.signals.limits.remove(life), before);
 }
 
 void LimitWatch::setHosts(const std::vector<std::string> &hosts)
 {
-    const unsigned before = m_state.signals.pacer.hosts();
+    const unsigned before = m_state.signals.pacer.hostCount();
     m_state.signals.pacer.setHosts(hosts, m_state.settings.host, m_state.clock.now(), m_state.random);
-    if (m_state.signals.pacer.hosts() != before) {
-        logChange("limit-sharers", {{"hosts", std::to_string(m_state.signals.pacer.hosts())}, {"before", std::to_string(before)}});
+    if (m_state.signals.pacer.hostCount() != before) {
+        logChange("limit-sharers", {{"hosts", std::to_string(m_state.signals.pacer.hostCount())}, {"before", std::to_string(before)}});
     }
 }
 
-void LimitWatch::dropGone()
+void LimitWatch::removeUnlistedRunners()
 {
     std::set<TargetLife> unlisted;
     for (const TargetLife &life : m_state.signals.limits.lives()) {
@@ -124,77 +124,77 @@
         if (listed) {
             continue;
         }
-        if (!m_unlisted.contains(life)) {
+        if (!m_unlistedLives.contains(life)) {
             unlisted.insert(life);
             continue;
         }
-        const NamedLimit before = *m_state.signals.limits.find(life);
-        noteChange(life, m_state.signals.limits.ended(life), before);
-        queue(life);
+        const RunnerLimit before = *m_state.signals.limits.find(life);
+        noteChange(life, m_state.signals.limits.remove(life), before);
+        queueRecord(life);
     }
-    m_unlisted = std::move(unlisted);
+    m_unlistedLives = std::move(unlisted);
 }
 
-void LimitWatch::noteChange(const TargetLife &life, LimitChange change, const NamedLimit &before)
+void LimitWatch::noteChange(const TargetLife &life, LimitChange change, const RunnerLimit &before)
 {
     if (change == LimitChange::None) {
         return;
     }
     const TimePoint now = m_state.clock.now();
-    const NamedLimit *known = m_state.signals.limits.find(life);
-    if (known == nullptr) {
-        m_state.signals.pacer.clear(life);
+    const RunnerLimit *current = m_state.signals.limits.find(life);
+    if (current == nullptr) {
+        m_state.signals.pacer.removeLimit(life);
     } else {
-        m_state.signals.pacer.setLimit(life, known->perSecond, now, m_state.random);
+        m_state.signals.pacer.setLimit(life, current->perSecond, now, m_state.random);
     }
-    m_state.counters.set(m_limited, m_state.signals.limits.size());
-    const NamedLimit &limit = known == nullptr ? before : *known;
+    m_state.counters.set(m_limitedRunnerCount, m_state.signals.limits.size());
+    const RunnerLimit &limit = current == nullptr ? before : *current;
     logChange("runner-limit",
               {{"target", life.id},
                {"born", std::to_string(life.born)},
                {"change", limitChangeName(change)},
-               {"per_second", known == nullptr ? "none" : twoDecimals(known->perSecond)},
+               {"per_second", current == nullptr ? "none" : twoDecimals(current->perSecond)},
                {"before", change == LimitChange::Named ? "none" : twoDecimals(before.perSecond)},
                {"share", twoDecimals(m_state.signals.pacer.shareOf(life).value_or(0))},
-               {"hosts", std::to_string(m_state.signals.pacer.hosts())},
+               {"hosts", std::to_string(m_state.signals.pacer.hostCount())},
                {"age_ms", msText(now - limit.since)},
                {"source", limit.source}});
 }
 
 void LimitWatch::noteMalformed(const TargetLife &life, const std::string &text)
 {
-    m_state.counters.add(m_malformedLimits);
-    if (m_malformed.size() < kMaxMalformed && m_malformed.insert(life).second) {
+    m_state.counters.add(m_malformedLimitCount);
+    if (m_loggedMalformed.size() < kMaxLoggedMalformed && m_loggedMalformed.insert(life).second) {
         logWarning("runner-limit-malformed", {{"target", life.id}, {"born", std::to_string(life.born)}, {"text", text.substr(0, 64)}});
     }
 }
 
-void LimitWatch::queue(const TargetLife &life)
+void LimitWatch::queueRecord(const TargetLife &life)
 {
-    m_unwritten.insert(life);
+    m_pendingRecords.insert(life);
     m_wake.cancel();
 }
 
 /** Brings the record of @p life to what this host knows. */
-asio::awaitable<std::error_code> LimitWatch::write(TargetLife life)
+asio::awaitable<std::error_code> LimitWatch::synchronizeRecord(TargetLife life)
 {
-    const auto recorded = m_recorded.find(life);
-    const NamedLimit *known = m_state.signals.limits.find(life);
-    const bool there = recorded != m_recorded.end();
-    if (known == nullptr ? !there : there && recorded->second == known->perSecond) {
+    const auto stored = m_storedLimits.find(life);
+    const RunnerLimit *current = m_state.signals.limits.find(life);
+    const bool exists = stored != m_storedLimits.end();
+    if (current == nullptr ? !exists : exists && stored->second == current->perSecond) {
         co_return std::error_code();
     }
     std::error_code error;
-    if (known == nullptr) {
+    if (current == nullptr) {
         error = co_await m_platform.removeLimitRecord(life);
         if (!error) {
-            m_recorded.erase(life);
+            m_storedLimits.erase(life);
         }
     } else {
-        const LimitRecord record{life, known->perSecond, m_state.settings.host, unixNow()};
+        const LimitRecord record{life, current->perSecond, m_state.settings.host, unixNow()};
         error = co_await m_platform.writeLimitRecord(record);
         if (!error) {
-            m_recorded[life] = record.perSecond;
+            m_storedLimits[life] = record.perSecond;
         }
     }
     co_return error;
@@ -205,25 +205,25 @@
     boost::system::error_code ignored; // cancelled when there is something to write
     TargetLife last; // tried, so that one that can't be written holds up no other
     for (;;) {
-        m_state.counters.set(m_unwrittenLimits, m_unwritten.size());
-        if (m_unwritten.empty()) {
+        m_state.counters.set(m_pendingRecordCount, m_pendingRecords.size());
+        if (m_pendingRecords.empty()) {
             m_wake.expires_at(asio::steady_timer::time_point::max());
             co_await m_wake.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
             continue;
         }
-        const auto next = m_unwritten.upper_bound(last);
-        const TargetLife life = next == m_unwritten.end() ? *m_unwritten.begin() : *next;
+        const auto next = m_pendingRecords.upper_bound(last);
+        const TargetLife life = next == m_pendingRecords.end() ? *m_pendingRecords.begin() : *next;
         last = life;
-        const std::error_code error = co_await write(life);
-        if (m_writable == static_cast<bool>(error)) {
-            m_writable = !error;
+        const std::error_code error = co_await synchronizeRecord(life);
+        if (m_lastWriteSucceeded == static_cast<bool>(error)) {
+            m_lastWriteSucceeded = !error;
             logChange("limit-record-written", {{"done", error ? "false" : "true"}, {"error", error ? error.message() : ""}, {"target", life.id}});
         }
-        const NamedLimit *known = m_state.signals.limits.find(life);
-        const auto recorded = m_recorded.find(life);
-        const bool same = known == nullptr ? recorded == m_recorded.end() : recorded != m_recorded.end() && recorded->second == known->perSecond;
-        if (same) {
-            m_unwritten.erase(life);
+        const RunnerLimit *current = m_state.signals.limits.find(life);
+        const auto stored = m_storedLimits.find(life);
+        const bool upToDate = current == nullptr ? stored == m_storedLimits.end() : stored != m_storedLimits.end() && stored->second == current->perSecond;
+        if (upToDate) {
+            m_pendingRecords.erase(life);
         }
         co_await sleep(error ? kStoreRetry : m_state.sharedWritePause());
     }
--- a/fulmarlink/limitwatch.h
+++ b/fulmarlink/limitwatch.h
@@ -39,34 +39,34 @@
     boost::asio::awaitable<void> publish();
 
     /** An answer of @p target to @p attempt, whose request was sent at @p sent. */
-    void answered(const TargetInfo &target, const RunnerAnswer &answer, TimePoint sent, const std::string &attempt);
+    void handleAnswer(const TargetInfo &target, const RunnerAnswer &answer, TimePoint sent, const std::string &attempt);
     /** Records of all hosts. */
-    void take(const SharedRecordsRead &read);
+    void applyRecords(const SharedRecordsRead &read);
     /** The entry hosts that live. */
     void setHosts(const std::vector<std::string> &hosts);
     /** Called now and then: what runners named that are gone is forgotten, here and in the store. */
-    void dropGone();
+    void removeUnlistedRunners();
 
 private:
-    void noteChange(const TargetLife &life, LimitChange change, const NamedLimit &before);
+    void noteChange(const TargetLife &life, LimitChange change, const RunnerLimit &before);
     void noteMalformed(const TargetLife &life, const std::string &text);
-    void end(const TargetLife &life);
-    void queue(const TargetLife &life);
-    boost::asio::awaitable<std::error_code> write(TargetLife life);
+    void handleRemovedRecord(const TargetLife &life);
+    void queueRecord(const TargetLife &life);
+    boost::asio::awaitable<std::error_code> synchronizeRecord(TargetLife life);
     boost::asio::awaitable<void> sleep(Duration duration);
 
     boost::asio::io_context &m_context;
     GatewayState &m_state;
     Platform &m_platform;
     boost::asio::steady_timer m_wake; ///< of publish()
-    std::set<TargetLife> m_unwritten; ///< whose record differs from what this host has seen
-    std::map<TargetLife, double> m_recorded; ///< limits in the store, as last heard
-    std::set<TargetLife> m_unlisted; ///< lives that the list of runners did not have when dropGone() last looked
-    std::set<TargetLife> m_malformed; ///< lives that a line has told of
-    bool m_writable = true; ///< the last writing of a record succeeded
-    Counters::Id m_limited;
-    Counters::Id m_malformedLimits;
-    Counters::Id m_unwrittenLimits;
+    std::set<TargetLife> m_pendingRecords; ///< whose record differs from what this host has seen
+    std::map<TargetLife, double> m_storedLimits; ///< limits in the store, as last heard
+    std::set<TargetLife> m_unlistedLives; ///< lives that the list of runners did not have when removeUnlistedRunners() last looked
+    std::set<TargetLife> m_loggedMalformed; ///< lives that a line has told of
+    bool m_lastWriteSucceeded = true; ///< the last writing of a record succeeded
+    Counters::Id m_limitedRunnerCount;
+    Counters::Id m_malformedLimitCount;
+    Counters::Id m_pendingRecordCount;
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/runnerlimits.cpp
+++ b/fulmarlink/runnerlimits.cpp
@@ -22,34 +22,34 @@
     return "none";
 }
 
-LimitChange RunnerLimits::answered(const TargetLife &life, const LimitEvidence &evidence)
+LimitChange RunnerLimits::applyAnswer(const TargetLife &life, const LimitObservation &observation)
 {
     const auto it = m_limits.find(life);
     if (it == m_limits.end()) {
-        return evidence.perSecond ? told(life, *evidence.perSecond, evidence.attempt, evidence.now) : LimitChange::None;
+        return observation.perSecond ? applyRecord(life, *observation.perSecond, observation.attempt, observation.now) : LimitChange::None;
     }
-    const bool later = evidence.sent > it->second.proved || mutated(Mutation::EndLimitByOldAnswer);
-    if (!evidence.perSecond) {
-        return later ? ended(life) : LimitChange::None;
+    const bool later = observation.sent > it->second.confirmedAt || mutated(Mutation::EndLimitByOldAnswer);
+    if (!observation.perSecond) {
+        return later ? remove(life) : LimitChange::None;
     }
-    if (*evidence.perSecond > it->second.perSecond && !later) {
+    if (*observation.perSecond > it->second.perSecond && !later) {
         return LimitChange::None;
     }
-    return told(life, *evidence.perSecond, evidence.attempt, evidence.now);
+    return applyRecord(life, *observation.perSecond, observation.attempt, observation.now);
 }
 
-LimitChange RunnerLimits::told(const TargetLife &life, double perSecond, const std::string &host, TimePoint now)
+LimitChange RunnerLimits::applyRecord(const TargetLife &life, double perSecond, const std::string &host, TimePoint now)
 {
     const auto it = m_limits.find(life);
     if (it == m_limits.end()) {
         if (m_limits.size() >= kMaxLimits) {
             return LimitChange::None;
         }
-        m_limits.emplace(life, NamedLimit{perSecond, now, now, host});
+        m_limits.emplace(life, RunnerLimit{perSecond, now, now, host});
         return LimitChange::Named;
     }
-    NamedLimit &limit = it->second;
-    limit.proved = now;
+    RunnerLimit &limit = it->second;
+    limit.confirmedAt = now;
     if (limit.perSecond == perSecond) {
         return LimitChange::None;
     }
@@ -58,12 +58,12 @@
     return LimitChange::Changed;
 }
 
-LimitChange RunnerLimits::ended(const TargetLife &life)
+LimitChange RunnerLimits::remove(const TargetLife &life)
 {
     return m_limits.erase(life) > 0 ? LimitChange::Ended : LimitChange::None;
 }
 
-const NamedLimit *RunnerLimits::find(const TargetLife &life) const
+const RunnerLimit *RunnerLimits::find(const TargetLife &life) const
 {
     const auto it = m_limits.find(life);
     return it == m_limits.end() ? nullptr : &it->second;
--- a/fulmarlink/runnerlimits.h
+++ b/fulmarlink/runnerlimits.h
@@ -13,10 +13,10 @@
 {
 
 /** What this host knows of the requests that a runner takes from all hosts together. */
-struct NamedLimit {
+struct RunnerLimit {
     double perSecond = 0;
     TimePoint since{}; ///< this host has known of a limit of the runner
-    TimePoint proved{}; ///< it was last named, to this host or in another one's record
+    TimePoint confirmedAt{}; ///< it was last named, to this host or in another one's record
     std::string source; ///< the attempt whose answer named it, or the host that told of it
 };
 
@@ -30,7 +30,7 @@
 std::string_view limitChangeName(LimitChange change);
 
 /** One answer of a runner, as far as it tells of a limit. */
-struct LimitEvidence {
+struct LimitObservation {
     std::optional<double> perSecond; ///< as it names it; absent: it names none
     TimePoint sent{}; ///< when the request was sent that it answers
     TimePoint now{};
@@ -51,19 +51,19 @@
 public:
     static constexpr std::size_t kMaxLimits = 4096; ///< lives; a fleet has some hundred runners
 
-    LimitChange answered(const TargetLife &life, const LimitEvidence &evidence);
+    LimitChange applyAnswer(const TargetLife &life, const LimitObservation &observation);
     /** Another host's record. */
-    LimitChange told(const TargetLife &life, double perSecond, const std::string &host, TimePoint now);
+    LimitChange applyRecord(const TargetLife &life, double perSecond, const std::string &host, TimePoint now);
     /** Another host has seen that the runner names none any more, or the runner is gone. */
-    LimitChange ended(const TargetLife &life);
+    LimitChange remove(const TargetLife &life);
 
     /** Null if none is known. */
-    const NamedLimit *find(const TargetLife &life) const;
+    const RunnerLimit *find(const TargetLife &life) const;
     std::vector<TargetLife> lives() const;
     std::size_t size() const;
 
 private:
-    std::map<TargetLife, NamedLimit> m_limits;
+    std::map<TargetLife, RunnerLimit> m_limits;
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/runnersignals.cpp
+++ b/fulmarlink/runnersignals.cpp
@@ -87,7 +87,7 @@
             return it->second.backoff.backsOff(now) ? RunnerObstacle::BackingOff : RunnerObstacle::SlowStart;
         }
     }
-    return !pacer.any() || pacer.hasRoom(life, now) ? RunnerObstacle::None : RunnerObstacle::Limited;
+    return !pacer.hasLimits() || pacer.canSend(life, now) ? RunnerObstacle::None : RunnerObstacle::Limited;
 }
 
 RunnerObstacle RunnerSignals::take(const TargetLife &life, unsigned open, TimePoint now)
@@ -96,7 +96,7 @@
     if (found != RunnerObstacle::None) {
         return found;
     }
-    return pacer.take(life, now) ? RunnerObstacle::None : RunnerObstacle::Limited;
+    return pacer.tryAcquire(life, now) ? RunnerObstacle::None : RunnerObstacle::Limited;
 }
 
 std::optional<TimePoint> RunnerSignals::nextRoom(const TargetLife &life, TimePoint now) const
@@ -105,7 +105,7 @@
     if (it != m_signals.end() && it->second.leaving) {
         return std::nullopt;
     }
-    const std::optional<TimePoint> limited = pacer.nextRoom(life, now);
+    const std::optional<TimePoint> limited = pacer.nextSendTime(life, now);
     if (!limited || it == m_signals.end()) {
         return limited;
     }
--- a/fulmarlink/signalwatch.cpp
+++ b/fulmarlink/signalwatch.cpp
@@ -29,7 +29,7 @@
 /** Each host begins again with one request; where hosts are more than the runner has slots they do so one after the other. */
 Duration SignalWatch::spread(const TargetInfo &target)
 {
-    const double hostsPerSlot = static_cast<double>(m_state.signals.pacer.hosts()) / std::max(1U, target.slots);
+    const double hostsPerSlot = static_cast<double>(m_state.signals.pacer.hostCount()) / std::max(1U, target.slots);
     if (hostsPerSlot <= 1) {
         return Duration(0);
     }
--- a/testing/customerlimiter_test.cpp
+++ b/testing/customerlimiter_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <iostream>
 
-#include "testing/harness/limitworld.h"
+#include "testing/harness/customerlimitersimulation.h"
 
 namespace fulmarlink::testing
 {
@@ -18,7 +18,7 @@
 constexpr std::uint32_t kTokens = 100;
 
 /** Asks for @p factor times the limit, spread over the entries at random, for @p seconds. */
-void press(LimitWorld &world, unsigned entries, double factor, unsigned seconds, Random &random)
+void press(CustomerLimiterSimulation &world, unsigned entries, double factor, unsigned seconds, Random &random)
 {
     const auto perStep = static_cast<unsigned>(factor * static_cast<double>(kLimit.tokensPerSecond) / kTokens / 100);
     for (unsigned step = 0; step < seconds * 100; ++step) {
@@ -40,7 +40,7 @@
 {
     for (const unsigned entries : {3U, 40U}) {
         Random random(3);
-        LimitWorld world(entries, 3);
+        CustomerLimiterSimulation world(entries, 3);
         world.run(2s);
         press(world, entries, 3, 1, random);
         const double first = world.granted(kCustomer);
@@ -57,7 +57,7 @@
 TEST(CustomerLimiter, BelowTheLimitNothingIsRefused)
 {
     Random random(4);
-    LimitWorld world(10, 4);
+    CustomerLimiterSimulation world(10, 4);
     world.run(2s);
     press(world, 10, 0.8, 5, random);
     EXPECT_EQ(world.refused(), 0U);
@@ -66,7 +66,7 @@
 TEST(CustomerLimiter, HoldsUnderChurnOfEntries)
 {
     Random random(5);
-    LimitWorld world(20, 5);
+    CustomerLimiterSimulation world(20, 5);
     world.run(2s);
     press(world, 20, 3, 2, random);
     const double before = world.granted(kCustomer);
@@ -86,10 +86,10 @@
 TEST(CustomerLimiter, HoldsWhileHomesAreOutOfReach)
 {
     Random random(6);
-    LimitWorld world(10, 6);
+    CustomerLimiterSimulation world(10, 6);
     world.run(2s);
     press(world, 10, 3, 2, random);
-    world.cutAll(true);
+    world.setPartitioned(true);
     press(world, 10, 3, 1, random); // the burst that the fallback shares had saved
     const double before = world.granted(kCustomer);
     press(world, 10, 3, 10, random);
--- a/testing/harness/limitworld.cpp
+++ b/testing/harness/customerlimitersimulation.cpp
@@ -1,4 +1,4 @@
-#include "testing/harness/limitworld.h"
+#include "testing/harness/customerlimitersimulation.h"
 
 namespace fulmarlink::testing
 {
@@ -11,40 +11,40 @@
 constexpr Duration kLatency = 1ms;
 constexpr Duration kTick = 10ms;
 
-NodeId idOf(unsigned entry)
+NodeId nodeIdOf(unsigned entry)
 {
     return nodeId("entry-" + std::to_string(entry));
 }
 
 } // namespace
 
-LimitWorld::LimitWorld(unsigned entries, std::uint64_t seed)
+CustomerLimiterSimulation::CustomerLimiterSimulation(unsigned entries, std::uint64_t seed)
     : m_entries(entries)
     , m_now(TimePoint(1h) + Duration(seed))
 {
     for (unsigned i = 0; i < entries; ++i) {
-        m_index[idOf(i)] = i;
+        m_entryOfNode[nodeIdOf(i)] = i;
         m_entries[i].listed = true;
         start(i);
     }
-    publish();
+    publishEntryList();
 }
 
-void LimitWorld::start(unsigned entry)
+void CustomerLimiterSimulation::start(unsigned entry)
 {
     LimiterOptions options;
-    options.self = idOf(entry);
+    options.self = nodeIdOf(entry);
     m_entries[entry].counters = std::make_unique<Counters>();
     m_entries[entry].limiter = std::make_unique<CustomerLimiter>(options, *m_entries[entry].counters);
     m_entries[entry].up = true;
 }
 
-void LimitWorld::publish()
+void CustomerLimiterSimulation::publishEntryList()
 {
     std::vector<NodeId> listed;
     for (unsigned i = 0; i < m_entries.size(); ++i) {
         if (m_entries[i].listed) {
-            listed.push_back(idOf(i));
+            listed.push_back(nodeIdOf(i));
         }
     }
     for (Entry &entry : m_entries) {
@@ -54,7 +54,7 @@
     }
 }
 
-void LimitWorld::request(unsigned entry, std::uint64_t customer, std::uint32_t tokens, const TokenLimit &limit)
+void CustomerLimiterSimulation::request(unsigned entry, std::uint64_t customer, std::uint32_t tokens, const TokenLimit &limit)
 {
     if (!m_entries[entry].up) {
         return;
@@ -62,31 +62,31 @@
     const RequestId id = m_nextRequest++;
     m_requests[id] = {customer, tokens};
     m_entries[entry].limiter->take(m_now, {id, customer, tokens, limit});
-    collect(entry);
+    collectOutput(entry);
 }
 
-void LimitWorld::kill(unsigned entry, Duration lag)
+void CustomerLimiterSimulation::kill(unsigned entry, Duration lag)
 {
     m_entries[entry].up = false;
-    m_listings.emplace(m_now + lag, std::pair(entry, false));
+    m_listChanges.emplace(m_now + lag, std::pair(entry, false));
 }
 
-void LimitWorld::join(unsigned entry, Duration lag)
+void CustomerLimiterSimulation::join(unsigned entry, Duration lag)
 {
     start(entry);
-    m_listings.emplace(m_now + lag, std::pair(entry, true));
+    m_listChanges.emplace(m_now + lag, std::pair(entry, true));
 }
 
-void LimitWorld::cutAll(bool cut)
+void CustomerLimiterSimulation::setPartitioned(bool partitioned)
 {
-    m_cut = cut;
+    m_partitioned = partitioned;
 }
 
-void LimitWorld::collect(unsigned entry)
+void CustomerLimiterSimulation::collectOutput(unsigned entry)
 {
     for (Envelope &envelope : m_entries[entry].limiter->takeMessages()) {
-        ++m_messages;
-        m_flights.emplace(m_now + kLatency, Flight{entry, std::move(envelope)});
+        ++m_messageCount;
+        m_messagesInFlight.emplace(m_now + kLatency, MessageInFlight{entry, std::move(envelope)});
     }
     for (const LimitDecision &decision : m_entries[entry].limiter->takeDecisions()) {
         const auto it = m_requests.find(decision.request);
@@ -99,26 +99,26 @@
     }
 }
 
-void LimitWorld::run(Duration time)
+void CustomerLimiterSimulation::run(Duration time)
 {
     const TimePoint until = m_now + time;
     while (m_now < until) {
         m_now += kLatency;
-        while (!m_listings.empty() && m_listings.begin()->first <= m_now) {
-            const auto [entry, listed] = m_listings.begin()->second;
-            m_listings.erase(m_listings.begin());
+        while (!m_listChanges.empty() && m_listChanges.begin()->first <= m_now) {
+            const auto [entry, listed] = m_listChanges.begin()->second;
+            m_listChanges.erase(m_listChanges.begin());
             m_entries[entry].listed = listed;
-            publish();
+            publishEntryList();
         }
-        while (!m_flights.empty() && m_flights.begin()->first <= m_now) {
-            const Flight flight = std::move(m_flights.begin()->second);
-            m_flights.erase(m_flights.begin());
-            const unsigned to = m_index.at(flight.envelope.to);
-            if (!m_entries[to].up || (m_cut && to != flight.from)) {
+        while (!m_messagesInFlight.empty() && m_messagesInFlight.begin()->first <= m_now) {
+            const MessageInFlight inFlight = std::move(m_messagesInFlight.begin()->second);
+            m_messagesInFlight.erase(m_messagesInFlight.begin());
+            const unsigned to = m_entryOfNode.at(inFlight.envelope.to);
+            if (!m_entries[to].up || (m_partitioned && to != inFlight.from)) {
                 continue;
             }
-            m_entries[to].limiter->receive(m_now, idOf(flight.from), flight.envelope.message);
-            collect(to);
+            m_entries[to].limiter->receive(m_now, nodeIdOf(inFlight.from), inFlight.envelope.message);
+            collectOutput(to);
         }
         if (m_now < m_nextTick) {
             continue;
@@ -127,36 +127,36 @@
         for (unsigned i = 0; i < m_entries.size(); ++i) {
             if (m_entries[i].up) {
                 m_entries[i].limiter->tick(m_now);
-                collect(i);
+                collectOutput(i);
             }
         }
     }
 }
 
-TimePoint LimitWorld::now() const
+TimePoint CustomerLimiterSimulation::now() const
 {
     return m_now;
 }
 
-bool LimitWorld::up(unsigned entry) const
+bool CustomerLimiterSimulation::up(unsigned entry) const
 {
     return m_entries[entry].up;
 }
 
-double LimitWorld::granted(std::uint64_t customer) const
+double CustomerLimiterSimulation::granted(std::uint64_t customer) const
 {
     const auto it = m_granted.find(customer);
     return it == m_granted.end() ? 0 : it->second;
 }
 
-unsigned LimitWorld::refused() const
+unsigned CustomerLimiterSimulation::refused() const
 {
     return m_refused;
 }
 
-std::uint64_t LimitWorld::messages() const
+std::uint64_t CustomerLimiterSimulation::messages() const
 {
-    return m_messages;
+    return m_messageCount;
 }
 
 } // namespace fulmarlink::testing
--- a/testing/harness/limitworld.h
+++ b/testing/harness/customerlimitersimulation.h
@@ -11,10 +11,10 @@
 {
 
 /** Entries with real limiters on a virtual clock, and messages that take a millisecond. */
-class LimitWorld
+class CustomerLimiterSimulation
 {
 public:
-    LimitWorld(unsigned entries, std::uint64_t seed);
+    CustomerLimiterSimulation(unsigned entries, std::uint64_t seed);
 
     /** A request of @p tokens at an entry. */
     void request(unsigned entry, std::uint64_t customer, std::uint32_t tokens, const TokenLimit &limit);
@@ -23,7 +23,7 @@
     /** Starts anew; the others' list has it after @p lag. */
     void join(unsigned entry, Duration lag);
     /** Nothing passes between entries. */
-    void cutAll(bool cut);
+    void setPartitioned(bool partitioned);
     void run(Duration time);
 
     TimePoint now() const;
@@ -39,27 +39,27 @@
         bool up = false;
         bool listed = false;
     };
-    struct Flight {
+    struct MessageInFlight {
         unsigned from = 0;
         Envelope envelope;
     };
 
     void start(unsigned entry);
-    void publish();
-    void collect(unsigned entry);
+    void publishEntryList();
+    void collectOutput(unsigned entry);
 
     std::vector<Entry> m_entries;
-    std::map<NodeId, unsigned> m_index;
-    std::multimap<TimePoint, Flight> m_flights;
-    std::multimap<TimePoint, std::pair<unsigned, bool>> m_listings;
+    std::map<NodeId, unsigned> m_entryOfNode;
+    std::multimap<TimePoint, MessageInFlight> m_messagesInFlight;
+    std::multimap<TimePoint, std::pair<unsigned, bool>> m_listChanges;
     std::map<RequestId, std::pair<std::uint64_t, std::uint32_t>> m_requests;
     std::map<std::uint64_t, double> m_granted;
     TimePoint m_now;
     TimePoint m_nextTick{};
     RequestId m_nextRequest = 1;
     unsigned m_refused = 0;
-    std::uint64_t m_messages = 0;
-    bool m_cut = false;
+    std::uint64_t m_messageCount = 0;
+    bool m_partitioned = false;
 };
 
 } // namespace fulmarlink::testing
--- a/testing/limitpacer_test.cpp
+++ b/testing/limitpacer_test.cpp
@@ -78,7 +78,7 @@
         const bool quiet = play.pattern == Pattern::Bursts && (now - kStart) % Duration(20s) < 10s;
         const unsigned callers = quiet ? 0 : std::poisson_distribution<unsigned>(each)(random);
         for (unsigned i = 0; i < callers; ++i) {
-            if (hosts[chooseHost(play, random)].take(kRunner, now)) {
+            if (hosts[chooseHost(play, random)].tryAcquire(kRunner, now)) {
                 result.push_back(now);
             }
         }
@@ -137,7 +137,7 @@
     play.pattern = *rc::gen::element(Pattern::Even, Pattern::OneHost, Pattern::Bursts);
     play.length = 30s;
     play.seed = *rc::gen::arbitrary<std::uint64_t>();
-    RC_ASSERT(static_cast<double>(mostInSpan(arrivals(play))) <= allowedInSpan(std::max(play.perSecond, LimitPacerOptions().leastPerSecond)));
+    RC_ASSERT(static_cast<double>(mostInSpan(arrivals(play))) <= allowedInSpan(std::max(play.perSecond, LimitPacerOptions().minPerSecond)));
 }
 
 TEST(LimitPacer, WhileTenTimesAsManyCallersComeTheWholeLimitIsUsed)
@@ -160,7 +160,7 @@
             pacer.setHosts(names(16), names(16)[i], kStart, random);
             pacer.setLimit({"i-1", born}, 1, kStart, random);
             const bool shares = *pacer.shareOf({"i-1", born}) > 0;
-            EXPECT_EQ(pacer.nextRoom({"i-1", born}, kStart).has_value(), shares);
+            EXPECT_EQ(pacer.nextSendTime({"i-1", born}, kStart).has_value(), shares);
             sharers += shares ? 1 : 0;
             runnersOfHost[i] += shares ? 1 : 0;
         }
@@ -176,9 +176,9 @@
     pacer.setHosts(names(5), "entry-0", kStart, random);
     pacer.setLimit(kRunner, 5, kStart, random);
     TimePoint now = kStart + 60s;
-    EXPECT_EQ(pacer.take(kRunner, now) + pacer.take(kRunner, now) + pacer.take(kRunner, now), 1);
+    EXPECT_EQ(pacer.tryAcquire(kRunner, now) + pacer.tryAcquire(kRunner, now) + pacer.tryAcquire(kRunner, now), 1);
     now += 600s;
-    EXPECT_EQ(pacer.take(kRunner, now) + pacer.take(kRunner, now) + pacer.take(kRunner, now), 1);
+    EXPECT_EQ(pacer.tryAcquire(kRunner, now) + pacer.tryAcquire(kRunner, now) + pacer.tryAcquire(kRunner, now), 1);
 }
 
 TEST(LimitPacer, ChangesOfHostsAndLimitsBringNoSlotsOfTheirOwn)
@@ -192,7 +192,7 @@
         const unsigned turn = static_cast<unsigned>(passed / 100ms);
         pacer.setHosts(names(4 + turn % 2), "entry-0", kStart + passed, random);
         pacer.setLimit(kRunner, turn % 3 == 0 ? 1.2 : 1, kStart + passed, random);
-        taken += pacer.take(kRunner, kStart + passed) ? 1 : 0;
+        taken += pacer.tryAcquire(kRunner, kStart + passed) ? 1 : 0;
     }
     EXPECT_LE(taken, 60 * 1.2 / 4 + 2);
     EXPECT_GE(taken, 60 * 1.0 / 5 - 2);
@@ -206,7 +206,7 @@
     unsigned got = 0;
     for (TimePoint now = kStart; now < kStart + 100s; now += 50ms) {
         for (LimitPacer &host : hosts) {
-            got += host.take(kRunner, now) ? 1 : 0;
+            got += host.tryAcquire(kRunner, now) ? 1 : 0;
         }
     }
     EXPECT_GE(got, 8U);
@@ -221,7 +221,7 @@
     pacer.setLimit(kRunner, 1e9, kStart, random);
     unsigned taken = 0;
     for (Duration passed = 1s; passed < 2s; passed += 100us) {
-        taken += pacer.take(kRunner, kStart + passed) ? 1 : 0;
+        taken += pacer.tryAcquire(kRunner, kStart + passed) ? 1 : 0;
     }
     EXPECT_EQ(taken, 10'000U);
 }
@@ -234,9 +234,9 @@
     EXPECT_DOUBLE_EQ(*pacer.shareOf(kRunner), 1.0);
     pacer.setHosts({"entry-1"}, "entry-0", kStart, random);
     EXPECT_DOUBLE_EQ(*pacer.shareOf(kRunner), 8.0) << "it counts itself";
-    pacer.clear(kRunner);
+    pacer.removeLimit(kRunner);
     EXPECT_FALSE(pacer.shareOf(kRunner));
-    EXPECT_TRUE(pacer.take(kRunner, kStart));
+    EXPECT_TRUE(pacer.tryAcquire(kRunner, kStart));
 }
 
 TEST(LimitPacerMutation, AHostThatTakesTheWholeLimitIsCaught)
--- a/testing/runnerlimits_test.cpp
+++ b/testing/runnerlimits_test.cpp
@@ -15,7 +15,7 @@
 const TargetLife kRunner{"i-1", 100};
 const TimePoint kStart{1000s};
 
-LimitEvidence evidence(std::optional<double> perSecond, Duration sent, Duration now)
+LimitObservation observation(std::optional<double> perSecond, Duration sent, Duration now)
 {
     return {perSecond, kStart + sent, kStart + now, "attempt"};
 }
@@ -25,24 +25,24 @@
 TEST(RunnerLimits, AnAnswerNamesChangesAndEndsALimit)
 {
     RunnerLimits limits;
-    EXPECT_EQ(limits.answered(kRunner, evidence({}, 0s, 1s)), LimitChange::None);
-    EXPECT_EQ(limits.answered(kRunner, evidence(2, 1s, 2s)), LimitChange::Named);
-    EXPECT_EQ(limits.answered(kRunner, evidence(2, 2s, 3s)), LimitChange::None);
+    EXPECT_EQ(limits.applyAnswer(kRunner, observation({}, 0s, 1s)), LimitChange::None);
+    EXPECT_EQ(limits.applyAnswer(kRunner, observation(2, 1s, 2s)), LimitChange::Named);
+    EXPECT_EQ(limits.applyAnswer(kRunner, observation(2, 2s, 3s)), LimitChange::None);
     EXPECT_EQ(limits.find(kRunner)->since, kStart + 2s);
-    EXPECT_EQ(limits.answered(kRunner, evidence(5, 4s, 5s)), LimitChange::Changed);
+    EXPECT_EQ(limits.applyAnswer(kRunner, observation(5, 4s, 5s)), LimitChange::Changed);
     EXPECT_EQ(limits.find(kRunner)->perSecond, 5);
-    EXPECT_EQ(limits.answered(kRunner, evidence({}, 6s, 7s)), LimitChange::Ended);
+    EXPECT_EQ(limits.applyAnswer(kRunner, observation({}, 6s, 7s)), LimitChange::Ended);
     EXPECT_EQ(limits.find(kRunner), nullptr);
 }
 
 TEST(RunnerLimits, AnAnswerThatWasOvertakenNeitherEndsNorRaisesALimit)
 {
     RunnerLimits limits;
-    limits.answered(kRunner, evidence(2, 1s, 5s));
-    EXPECT_EQ(limits.answered(kRunner, evidence({}, 4s, 6s)), LimitChange::None);
-    EXPECT_EQ(limits.answered(kRunner, evidence(9, 4s, 6s)), LimitChange::None);
+    limits.applyAnswer(kRunner, observation(2, 1s, 5s));
+    EXPECT_EQ(limits.applyAnswer(kRunner, observation({}, 4s, 6s)), LimitChange::None);
+    EXPECT_EQ(limits.applyAnswer(kRunner, observation(9, 4s, 6s)), LimitChange::None);
     EXPECT_EQ(limits.find(kRunner)->perSecond, 2);
-    EXPECT_EQ(limits.answered(kRunner, evidence(1, 4s, 6s)), LimitChange::Changed) << "a lower one holds at once";
+    EXPECT_EQ(limits.applyAnswer(kRunner, observation(1, 4s, 6s)), LimitChange::Changed) << "a lower one holds at once";
     EXPECT_EQ(limits.find(kRunner)->perSecond, 1);
 }
 
@@ -50,34 +50,34 @@
 {
     const ScopedMutation mutation(Mutation::EndLimitByOldAnswer);
     RunnerLimits limits;
-    limits.answered(kRunner, evidence(2, 1s, 5s));
-    EXPECT_EQ(limits.answered(kRunner, evidence({}, 4s, 6s)), LimitChange::Ended);
+    limits.applyAnswer(kRunner, observation(2, 1s, 5s));
+    EXPECT_EQ(limits.applyAnswer(kRunner, observation({}, 4s, 6s)), LimitChange::Ended);
 }
 
 TEST(RunnerLimits, AnotherLifeOfTheRunnerHasNoLimit)
 {
     RunnerLimits limits;
-    limits.answered(kRunner, evidence(2, 1s, 2s));
+    limits.applyAnswer(kRunner, observation(2, 1s, 2s));
     EXPECT_EQ(limits.find({"i-1", 101}), nullptr);
-    EXPECT_EQ(limits.answered({"i-1", 101}, evidence({}, 3s, 4s)), LimitChange::None);
+    EXPECT_EQ(limits.applyAnswer({"i-1", 101}, observation({}, 3s, 4s)), LimitChange::None);
     EXPECT_NE(limits.find(kRunner), nullptr);
 }
 
 TEST(RunnerLimits, WhatAnotherHostTellsHoldsLikeAnAnswerOfNow)
 {
     RunnerLimits limits;
-    EXPECT_EQ(limits.told(kRunner, 3, "entry-1", kStart + 10s), LimitChange::Named);
+    EXPECT_EQ(limits.applyRecord(kRunner, 3, "entry-1", kStart + 10s), LimitChange::Named);
     EXPECT_EQ(limits.find(kRunner)->source, "entry-1");
-    EXPECT_EQ(limits.answered(kRunner, evidence({}, 9s, 11s)), LimitChange::None) << "its request was sent before this host was told";
-    EXPECT_EQ(limits.ended(kRunner), LimitChange::Ended);
-    EXPECT_EQ(limits.ended(kRunner), LimitChange::None);
+    EXPECT_EQ(limits.applyAnswer(kRunner, observation({}, 9s, 11s)), LimitChange::None) << "its request was sent before this host was told";
+    EXPECT_EQ(limits.remove(kRunner), LimitChange::Ended);
+    EXPECT_EQ(limits.remove(kRunner), LimitChange::None);
 }
 
 TEST(RunnerLimits, MoreLivesThanThereIsRoomForAreLeftOut)
 {
     RunnerLimits limits;
     for (std::uint64_t born = 1; born <= RunnerLimits::kMaxLimits + 5; ++born) {
-        limits.told({"i-1", born}, 1, "entry-1", kStart);
+        limits.applyRecord({"i-1", born}, 1, "entry-1", kStart);
     }
     EXPECT_EQ(limits.size(), RunnerLimits::kMaxLimits);
 }
