--- a/app/held.cpp
+++ b/app/held.cpp
@@ -26,8 +26,8 @@
 std::string livesText(const HeldRequest &request)
 {
     std::string result;
-    for (const TargetLife &life : request.lives) {
-        result += (result.empty() ? "" : ",") + life.id;
+    for (const TargetIncarnation &incarnation : request.incarnations) {
+        result += (result.empty() ? "" : ",") + incarnation.id;
     }
     return result;
 }
@@ -36,7 +36,7 @@
 {
     std::cout << "fingerprint                                       verdict    crashes  customer  route  runners\n";
     for (const HeldRequest &request : held) {
-        std::cout << request.fingerprint.text() << "  " << crashVerdictName(request.standing.verdict) << "  " << request.standing.crashes << "  "
+        std::cout << request.fingerprint.text() << "  " << crashVerdictName(request.status.verdict) << "  " << request.status.crashes << "  "
                   << request.customer << "  " << request.route << "  " << livesText(request) << '\n';
     }
 }
@@ -46,8 +46,8 @@
     json::array rows;
     for (const HeldRequest &request : held) {
         rows.push_back(json::object{{"fingerprint", request.fingerprint.text()},
-                                    {"verdict", crashVerdictName(request.standing.verdict)},
-                                    {"crashes", request.standing.crashes},
+                                    {"verdict", crashVerdictName(request.status.verdict)},
+                                    {"crashes", request.status.crashes},
                                     {"customer", request.customer},
                                     {"route", request.route},
                                     {"runners", livesText(request)}});
@@ -74,7 +74,7 @@
         record.host = kOperator;
         record.writtenAt = now;
         record.name = "cleared." + text + '.' + kOperator + '.' + std::to_string(now.count());
-        record.lives = request.lives;
+        record.incarnations = request.incarnations;
         record.suspects.push_back({request.fingerprint, request.customer, request.route, false});
         const std::error_code error = session.write(std::move(record));
         return error ? fail(error) : ExitCode::Ok;
@@ -119,7 +119,7 @@
     for (CrashRecord &record : read.crashes) {
         history.add(std::move(record), session.now());
     }
-    const std::vector<HeldRequest> held = history.held(session.now());
+    const std::vector<HeldRequest> held = history.heldRequests(session.now());
     if (releases) {
         return release(session, held, operands[1]);
     }
--- a/fulmarlink/crashhistory.cpp
+++ b/fulmarlink/crashhistory.cpp
@@ -1,8 +1,9 @@
-// Records are a set that only grows until they are too old; m_requests is derived from
-// them and from what this host saw end well, and can be made anew at any time.
+// m_records is a set of records that never change; they are removed when they expire or are
+// evicted. m_requests is an index over them, together with what completions on this host
+// have cleared; it can be rebuilt at any time.
 //
-// Invariants: a life counts once for a request; a cleared life never counts again;
-// records that hold a request back outlive those that don't.
+// Invariants: an incarnation counts once for a request; a cleared incarnation never counts
+// again; records that hold a request back outlive those that don't.
 
 #include "fulmarlink/crashhistory.h"
 
@@ -18,8 +19,8 @@
 namespace
 {
 
-constexpr std::size_t kRoomShare = 16; ///< of all records, dropped at a time
-constexpr double kOrphanFactor = 1.25; ///< another host's records are left to it for so much longer
+constexpr std::size_t kEvictionDivisor = 16; ///< 1/16 of maxRecords is evicted at a time
+constexpr double kOrphanFactor = 1.25; ///< other hosts' records are kept this much longer, so that normally their writers remove them
 
 } // namespace
 
@@ -45,7 +46,7 @@
 {
 }
 
-unsigned CrashHistory::openCrashes(const Request &request)
+unsigned CrashHistory::unclearedCrashes(const Request &request)
 {
     return static_cast<unsigned>(std::ranges::count_if(request.crashes, [&](const auto &crash) {
         return !request.cleared.contains(crash.first);
@@ -57,7 +58,7 @@
     if (m_records.contains(record.name)) {
         return false;
     }
-    makeRoom();
+    evictOldest();
     const std::string name = record.name;
     const auto &stored = m_records.emplace(name, Stored{std::move(record), now}).first->second;
     index(stored.record, now);
@@ -66,15 +67,15 @@
     }
     for (const CrashSuspect &suspect : stored.record.suspects) {
         Request &request = m_requests[suspect.fingerprint];
-        if (endedWellLately(suspect.fingerprint, now)) {
+        if (completedRecently(suspect.fingerprint, now)) {
             clear(request);
         }
-        tellCleared(suspect.fingerprint, request);
+        queueClearance(suspect.fingerprint, request);
     }
     return true;
 }
 
-void CrashHistory::index(const CrashRecord &record, TimePoint seen)
+void CrashHistory::index(const CrashRecord &record, TimePoint receivedAt)
 {
     for (const CrashSuspect &suspect : record.suspects) {
         Request &request = m_requests[suspect.fingerprint];
@@ -82,190 +83,191 @@
         request.route = suspect.route;
         if (record.kind == CrashRecordKind::Trial) {
             ++request.trials;
-            request.lastTrial = std::max(request.lastTrial, seen);
+            request.lastTrialAt = std::max(request.lastTrialAt, receivedAt);
             continue;
         }
-        for (const TargetLife &life : record.lives) {
+        for (const TargetIncarnation &incarnation : record.incarnations) {
             if (record.kind == CrashRecordKind::Cleared) {
-                request.cleared.insert(life);
+                request.cleared.insert(incarnation);
                 continue;
             }
-            const TargetLife counted = mutated(Mutation::CountReports) ? TargetLife{record.name, 0} : life;
-            const auto [it, added] = request.crashes.try_emplace(counted, Crash{seen, suspect.answering});
-            it->second.answering = it->second.answering && suspect.answering;
+            const TargetIncarnation counted = mutated(Mutation::CountReports) ? TargetIncarnation{record.name, 0} : incarnation;
+            const auto [it, added] = request.crashes.try_emplace(counted, Crash{receivedAt, suspect.answerStarted});
+            it->second.answerStarted = it->second.answerStarted && suspect.answerStarted;
         }
     }
 }
 
-CrashStanding CrashHistory::standing(const RequestFingerprint &fingerprint, TimePoint now) const
+CrashStatus CrashHistory::status(const RequestFingerprint &fingerprint, TimePoint now) const
 {
-    CrashStanding result;
+    CrashStatus result;
     const auto it = m_requests.find(fingerprint);
     if (it == m_requests.end()) {
         return result;
     }
     const Request &request = it->second;
-    unsigned beforeAnswer = 0;
-    TimePoint last = request.lastTrial;
-    for (const auto &[life, crash] : request.crashes) {
-        if (request.cleared.contains(life)) {
+    unsigned crashesBeforeAnswer = 0;
+    TimePoint lastEvent = request.lastTrialAt;
+    for (const auto &[incarnation, crash] : request.crashes) {
+        if (request.cleared.contains(incarnation)) {
             continue;
         }
         ++result.crashes;
-        beforeAnswer += crash.answering ? 0 : 1;
-        last = std::max(last, crash.seen);
+        crashesBeforeAnswer += crash.answerStarted ? 0 : 1;
+        lastEvent = std::max(lastEvent, crash.receivedAt);
     }
     result.trials = request.trials;
-    if (result.crashes >= m_policy.mostCrashes && !mutated(Mutation::NeverBan)) {
+    if (result.crashes >= m_policy.maxCrashes && !mutated(Mutation::NeverBan)) {
         result.verdict = CrashVerdict::Banned;
-        result.retryAfter = m_policy.bannedRetry;
+        result.retryAfter = m_policy.banRetryAfter;
         return result;
     }
-    if (beforeAnswer >= m_policy.heldAfter) {
-        const Duration left = last + m_policy.holdFor - now;
-        result.verdict = left > Duration(0) ? CrashVerdict::HeldBack : CrashVerdict::TrialDue;
-        result.retryAfter = std::max(left, Duration(0));
+    if (crashesBeforeAnswer >= m_policy.holdAfterCrashes) {
+        const Duration remaining = lastEvent + m_policy.holdTime - now;
+        result.verdict = remaining > Duration(0) ? CrashVerdict::HeldBack : CrashVerdict::TrialDue;
+        result.retryAfter = std::max(remaining, Duration(0));
         return result;
     }
     result.verdict = result.crashes > 0 ? CrashVerdict::Suspect : CrashVerdict::Clear;
     return result;
 }
 
-void CrashHistory::endedWell(const RequestFingerprint &fingerprint, TimePoint now)
+void CrashHistory::requestCompleted(const RequestFingerprint &fingerprint, TimePoint now)
 {
-    m_well[fingerprint] = now;
-    m_wellOrder.emplace_back(now, fingerprint);
-    while (!m_wellOrder.empty() && (m_wellOrder.size() > m_policy.maxWell || now - m_wellOrder.front().first > m_policy.wellFor)) {
-        const auto it = m_well.find(m_wellOrder.front().second);
-        if (it != m_well.end() && it->second == m_wellOrder.front().first) {
-            m_well.erase(it);
+    m_completions[fingerprint] = now;
+    m_completionOrder.emplace_back(now, fingerprint);
+    while (!m_completionOrder.empty()
+           && (m_completionOrder.size() > m_policy.maxCompletions || now - m_completionOrder.front().first > m_policy.completionWindow)) {
+        const auto it = m_completions.find(m_completionOrder.front().second);
+        if (it != m_completions.end() && it->second == m_completionOrder.front().first) {
+            m_completions.erase(it);
         }
-        m_wellOrder.pop_front();
+        m_completionOrder.pop_front();
     }
     const auto it = m_requests.find(fingerprint);
-    if (it != m_requests.end() && openCrashes(it->second) > 0) {
+    if (it != m_requests.end() && unclearedCrashes(it->second) > 0) {
         clear(it->second);
-        tellCleared(fingerprint, it->second);
+        queueClearance(fingerprint, it->second);
     }
 }
 
-bool CrashHistory::endedWellLately(const RequestFingerprint &fingerprint, TimePoint now) const
+bool CrashHistory::completedRecently(const RequestFingerprint &fingerprint, TimePoint now) const
 {
-    const auto it = m_well.find(fingerprint);
-    return it != m_well.end() && now - it->second <= m_policy.wellFor;
+    const auto it = m_completions.find(fingerprint);
+    return it != m_completions.end() && now - it->second <= m_policy.completionWindow;
 }
 
-/** Of all lives that are known to have ended under it. */
+/** Clears the request of all its known crashes. */
 void CrashHistory::clear(Request &request)
 {
     if (mutated(Mutation::ClearNobody)) {
         return;
     }
-    for (const auto &[life, crash] : request.crashes) {
-        request.untold = request.cleared.insert(life).second || request.untold;
+    for (const auto &[incarnation, crash] : request.crashes) {
+        request.clearanceUnpublished = request.cleared.insert(incarnation).second || request.clearanceUnpublished;
     }
 }
 
 /**
- * Others are only told when they may hold it back, which takes two lives: most suspects of
- * a runner's end are innocent and never come near it.
+ * Queues a Cleared record only if other hosts may hold the request back, which takes
+ * holdAfterCrashes incarnations: most suspects of a crash did not cause it and never get that far.
  */
-void CrashHistory::tellCleared(const RequestFingerprint &fingerprint, Request &request)
+void CrashHistory::queueClearance(const RequestFingerprint &fingerprint, Request &request)
 {
-    if (!request.untold || request.crashes.size() < m_policy.heldAfter) {
+    if (!request.clearanceUnpublished || request.crashes.size() < m_policy.holdAfterCrashes) {
         return;
     }
-    request.untold = false;
+    request.clearanceUnpublished = false;
     CrashRecord record;
     record.kind = CrashRecordKind::Cleared;
-    record.lives.assign(request.cleared.begin(), request.cleared.end());
+    record.incarnations.assign(request.cleared.begin(), request.cleared.end());
     record.suspects.push_back({fingerprint, request.customer, request.route, false});
-    m_clearings.push_back(std::move(record));
+    m_clearances.push_back(std::move(record));
 }
 
-std::vector<CrashRecord> CrashHistory::takeClearings()
+std::vector<CrashRecord> CrashHistory::takeClearances()
 {
-    return std::exchange(m_clearings, {});
+    return std::exchange(m_clearances, {});
 }
 
 bool CrashHistory::holdsBack(const CrashRecord &record) const
 {
     return std::ranges::any_of(record.suspects, [this](const CrashSuspect &suspect) {
         const auto it = m_requests.find(suspect.fingerprint);
-        return it != m_requests.end() && it->second.crashes.size() >= m_policy.heldAfter;
+        return it != m_requests.end() && it->second.crashes.size() >= m_policy.holdAfterCrashes;
     });
 }
 
-/** Several at a time, since what is derived from the records is made anew after it. */
-void CrashHistory::makeRoom()
+/** Evicts several records at a time, because the index must be rebuilt afterwards. */
+void CrashHistory::evictOldest()
 {
     if (m_records.size() < m_policy.maxRecords) {
         return;
     }
-    std::vector<std::tuple<bool, std::chrono::milliseconds, std::string>> byWorth;
+    std::vector<std::tuple<bool, std::chrono::milliseconds, std::string>> evictionOrder;
     for (const auto &[name, stored] : m_records) {
-        byWorth.emplace_back(holdsBack(stored.record), stored.record.writtenAt, name);
+        evictionOrder.emplace_back(holdsBack(stored.record), stored.record.writtenAt, name);
     }
-    std::ranges::sort(byWorth);
-    byWorth.resize(std::max<std::size_t>(1, m_policy.maxRecords / kRoomShare));
-    for (const auto &[held, time, name] : byWorth) {
+    std::ranges::sort(evictionOrder);
+    evictionOrder.resize(std::max<std::size_t>(1, m_policy.maxRecords / kEvictionDivisor));
+    for (const auto &[held, time, name] : evictionOrder) {
         m_records.erase(name);
         ++m_dropped;
     }
-    reindex();
+    rebuildIndex();
 }
 
 std::vector<std::string> CrashHistory::expire(std::chrono::milliseconds unixNow, std::string_view host)
 {
-    std::vector<std::string> removable;
+    std::vector<std::string> expired;
     bool changed = false;
     for (auto it = m_records.begin(); it != m_records.end();) {
         const CrashRecord &record = it->second.record;
-        const auto keep = holdsBack(record) ? m_policy.keepHeld : m_policy.keep;
+        const auto retention = holdsBack(record) ? m_policy.heldRetention : m_policy.retention;
         const auto age = unixNow - record.writtenAt;
-        const auto limit = record.host == host ? keep : std::chrono::duration_cast<std::chrono::milliseconds>(keep * kOrphanFactor);
+        const auto limit = record.host == host ? retention : std::chrono::duration_cast<std::chrono::milliseconds>(retention * kOrphanFactor);
         if (age <= limit) {
             ++it;
             continue;
         }
-        removable.push_back(it->first);
+        expired.push_back(it->first);
         it = m_records.erase(it);
         changed = true;
     }
     if (changed) {
-        reindex();
+        rebuildIndex();
     }
-    return removable;
+    return expired;
 }
 
-void CrashHistory::reindex()
+void CrashHistory::rebuildIndex()
 {
     std::map<RequestFingerprint, Request> before = std::exchange(m_requests, {});
     for (const auto &[name, stored] : m_records) {
-        index(stored.record, stored.seen);
+        index(stored.record, stored.receivedAt);
     }
     for (auto &[fingerprint, request] : m_requests) {
-        Request &old = before[fingerprint];
-        request.cleared.merge(old.cleared);
-        request.untold = old.untold;
+        Request &previous = before[fingerprint];
+        request.cleared.merge(previous.cleared);
+        request.clearanceUnpublished = previous.clearanceUnpublished;
     }
 }
 
-std::vector<HeldRequest> CrashHistory::held(TimePoint now) const
+std::vector<HeldRequest> CrashHistory::heldRequests(TimePoint now) const
 {
     std::vector<HeldRequest> result;
     for (const auto &[fingerprint, request] : m_requests) {
-        const CrashStanding state = standing(fingerprint, now);
-        if (state.verdict == CrashVerdict::Clear || state.verdict == CrashVerdict::Suspect) {
+        const CrashStatus requestStatus = status(fingerprint, now);
+        if (requestStatus.verdict == CrashVerdict::Clear || requestStatus.verdict == CrashVerdict::Suspect) {
             continue;
         }
-        HeldRequest one{fingerprint, request.customer, request.route, state, {}};
-        for (const auto &[life, crash] : request.crashes) {
-            if (!request.cleared.contains(life)) {
-                one.lives.push_back(life);
+        HeldRequest heldRequest{fingerprint, request.customer, request.route, requestStatus, {}};
+        for (const auto &[incarnation, crash] : request.crashes) {
+            if (!request.cleared.contains(incarnation)) {
+                heldRequest.incarnations.push_back(incarnation);
             }
         }
-        result.push_back(std::move(one));
+        result.push_back(std::move(heldRequest));
     }
     return result;
 }
@@ -275,7 +277,7 @@
     return m_records.size();
 }
 
-std::uint64_t CrashHistory::dropped() const
+std::uint64_t CrashHistory::droppedRecords() const
 {
     return m_dropped;
 }
--- a/fulmarlink/crashhistory.h
+++ b/fulmarlink/crashhistory.h
@@ -16,100 +16,106 @@
 
 enum class CrashVerdict : std::uint8_t {
     Clear,
-    Suspect, ///< a runner ended under it: it may come again, but this product does not send it again by itself
-    HeldBack, ///< refused until one try is due
-    TrialDue, ///< one host may run it, once it has claimed the try
-    Banned, ///< refused
+    Suspect, ///< in progress when a runner ended: callers may repeat it, but it is not retried automatically
+    HeldBack, ///< refused until the next trial is due
+    TrialDue, ///< one host may run it, after it has claimed the trial
+    Banned, ///< refused until its records expire or an operator clears it
 };
 
 std::string_view crashVerdictName(CrashVerdict verdict);
 
-/** How things stand with one request. */
-struct CrashStanding {
+/** What is known of one request: its verdict and the figures behind it. */
+struct CrashStatus {
     CrashVerdict verdict = CrashVerdict::Clear;
-    unsigned crashes = 0; ///< runners that ended under it
-    unsigned trials = 0; ///< claimed so far
-    Duration retryAfter{0}; ///< of HeldBack and Banned
+    unsigned crashes = 0; ///< runner incarnations that ended with it in progress and of which it is not cleared
+    unsigned trials = 0; ///< claimed so far, on all hosts
+    Duration retryAfter{0}; ///< for HeldBack and Banned
 };
 
-/** A request that is held back or banned, for operators. */
+/** A request that is held back, due for a trial or banned; listed for operators. */
 struct HeldRequest {
     RequestFingerprint fingerprint;
     std::string customer;
     std::string route;
-    CrashStanding standing;
-    std::vector<TargetLife> lives; ///< that ended under it
+    CrashStatus status;
+    std::vector<TargetIncarnation> incarnations; ///< that ended with it in progress
 };
 
 /**
- * Who is to blame for runners that ended, from the records of all hosts.
+ * Identifies requests that crash runners, from the crash records of all hosts.
  *
- * When a runner ends, each request in progress there is a suspect: one is to blame, or
- * none. The innocent ones differ from end to end, and end well elsewhere. So a request is
- * judged by the number of distinct lives of runners that ended under it, and whatever
- * ends well is cleared of all that was before. A request that crashes runners never ends
- * well.
+ * When a runner ends, every request in progress there is a suspect, and at most one of
+ * them caused the crash. The others differ from crash to crash and complete elsewhere. So
+ * a request is judged by the number of distinct runner incarnations that ended with it in
+ * progress, and a request that completes is cleared of all earlier crashes. A request that
+ * crashes runners never completes.
  *
- * Contract: two records of one life count once, whoever wrote them. Pure; not
- * thread-safe; standing() is O(log n).
+ * Contract: records of the same incarnation count once, whichever hosts wrote them. No
+ * I/O; not thread-safe; status() is O(log n) in the number of requests.
  */
 class CrashHistory
 {
 public:
     explicit CrashHistory(CrashPolicy policy = {});
 
-    /** False if it is known. */
+    /** Returns false if a record of this name is known already. */
     bool add(CrashRecord record, TimePoint now);
-    CrashStanding standing(const RequestFingerprint &fingerprint, TimePoint now) const;
-
-    /** A runner answered it, with success or failure. */
-    void endedWell(const RequestFingerprint &fingerprint, TimePoint now);
-    bool endedWellLately(const RequestFingerprint &fingerprint, TimePoint now) const;
-    /** Requests that this host knows to be cleared while others may hold them back: to be written, each once. Name, host and time are the caller's to set. */
-    std::vector<CrashRecord> takeClearings();
-
-    /** Drops what is too old by Unix time @p unixNow; gives the names of records that the store need not keep, of @p host's own and of hosts that are gone. */
+    CrashStatus status(const RequestFingerprint &fingerprint, TimePoint now) const;
+
+    /** A runner has answered the request, with success or failure: clears it of all earlier crashes. */
+    void requestCompleted(const RequestFingerprint &fingerprint, TimePoint now);
+    bool completedRecently(const RequestFingerprint &fingerprint, TimePoint now) const;
+    /**
+     * Returns, once each, the Cleared records to write: of requests that this host has cleared and other hosts may hold back.
+     * The caller sets name, host and time.
+     */
+    std::vector<CrashRecord> takeClearances();
+
+    /**
+     * Drops the records that have expired at Unix time @p unixNow and returns their names, for removal from the store. Records that
+     * another host than @p host wrote expire later, so that normally their writer removes them.
+     */
     std::vector<std::string> expire(std::chrono::milliseconds unixNow, std::string_view host);
 
-    std::vector<HeldRequest> held(TimePoint now) const;
+    std::vector<HeldRequest> heldRequests(TimePoint now) const;
     std::size_t size() const;
-    std::uint64_t dropped() const; ///< records for which there was no room
+    std::uint64_t droppedRecords() const; ///< evicted because CrashPolicy::maxRecords was reached
 
 private:
     struct Crash {
-        TimePoint seen{};
-        bool answering = true; ///< in every record of this life
+        TimePoint receivedAt{};
+        bool answerStarted = true; ///< in every record of this incarnation
     };
 
     struct Request {
         std::string customer;
         std::string route;
-        std::map<TargetLife, Crash> crashes;
-        std::set<TargetLife> cleared;
-        bool untold = false; ///< cleared of something that others have not been told of
+        std::map<TargetIncarnation, Crash> crashes;
+        std::set<TargetIncarnation> cleared;
+        bool clearanceUnpublished = false; ///< cleared of a crash since its last Cleared record was queued
         unsigned trials = 0;
-        TimePoint lastTrial{};
+        TimePoint lastTrialAt{};
     };
 
     struct Stored {
         CrashRecord record;
-        TimePoint seen{};
+        TimePoint receivedAt{};
     };
 
-    void index(const CrashRecord &record, TimePoint seen);
+    void index(const CrashRecord &record, TimePoint receivedAt);
     static void clear(Request &request);
-    void tellCleared(const RequestFingerprint &fingerprint, Request &request);
-    void reindex();
-    void makeRoom();
+    void queueClearance(const RequestFingerprint &fingerprint, Request &request);
+    void rebuildIndex();
+    void evictOldest();
     bool holdsBack(const CrashRecord &record) const;
-    static unsigned openCrashes(const Request &request);
+    static unsigned unclearedCrashes(const Request &request);
 
     const CrashPolicy m_policy;
     std::map<std::string, Stored> m_records; ///< by name
     std::map<RequestFingerprint, Request> m_requests;
-    std::map<RequestFingerprint, TimePoint> m_well;
-    std::deque<std::pair<TimePoint, RequestFingerprint>> m_wellOrder; ///< may hold older times of a request too
-    std::vector<CrashRecord> m_clearings;
+    std::map<RequestFingerprint, TimePoint> m_completions;
+    std::deque<std::pair<TimePoint, RequestFingerprint>> m_completionOrder; ///< oldest first; may also hold outdated times of a request
+    std::vector<CrashRecord> m_clearances;
     std::uint64_t m_dropped = 0;
 };
 
--- a/fulmarlink/crashpolicy.h
+++ b/fulmarlink/crashpolicy.h
@@ -8,30 +8,31 @@
 namespace fulmarlink
 {
 
-/** Figures of CrashHistory; the defaults are for any deployment. */
+/** Thresholds, periods and limits of CrashHistory; the defaults suit any deployment. */
 struct CrashPolicy {
-    /** Runners that a request may end before it reaches no more. One is chance and two may be; the platform allows no fourth. */
-    unsigned mostCrashes = 3;
+    /** Crashes after which a request is banned. One can be a coincidence and two may be; the platform allows a request no fourth. */
+    unsigned maxCrashes = 3;
     /**
-     * Runners that ended before they gave the first part of its answer, after which it is held back. A request that crashes
-     * runners does so as it begins; one that happened to be on two ending runners had mostly begun to be answered at one of them.
+     * Crashes before the first part of the answer after which a request is held back. A request that crashes runners does so as
+     * it begins; one that happened to be on two runners that ended had usually begun to be answered at one of them.
      */
-    unsigned heldAfter = 2;
+    unsigned holdAfterCrashes = 2;
     /**
-     * Until one try of a request that is held back. If it is to blame the try costs another runner, and its rank group all streams for 3 to 8 s, so it
-     * shall be at most 3 in 100 of the time; if it is not, its caller has long given up, and only words that come again and again gain by it.
+     * Time until one trial of a request that is held back. A trial of a request at fault costs another runner, and its rank group all streams for
+     * 3 to 8 s, which must be at most 3 % of the time. For a request not at fault, its caller has given up long before, and only requests that are
+     * repeated again and again gain by an earlier trial.
      */
-    Duration holdFor = std::chrono::minutes(5);
-    /** A request that ended well so shortly before a runner ended is not to blame: the same words of many callers are in progress everywhere, always. */
-    Duration wellFor = std::chrono::seconds(10);
-    /** Callers are told to come back then. Longer than any caller waits, shorter than an operator's shift. */
-    Duration bannedRetry = std::chrono::hours(1);
-    /** Records that hold nothing back; a repeat that comes later begins anew. */
-    std::chrono::milliseconds keep = std::chrono::hours(1);
-    /** Records of requests that are held back: a ban ends a day after the last runner's end, or when an operator clears it. */
-    std::chrono::milliseconds keepHeld = std::chrono::hours(24);
-    std::size_t maxRecords = 2048; ///< some 0.5 KB each; the oldest that hold nothing back go first
-    std::size_t maxWell = 4096; ///< requests that ended well lately: 400 a second, ten times a busy host's
+    Duration holdTime = std::chrono::minutes(5);
+    /** A request that completed within this time before a crash is not at fault: equal requests of many callers are in progress on all runners at any time. */
+    Duration completionWindow = std::chrono::seconds(10);
+    /** Retry-After of a banned request: longer than any caller waits, shorter than an operator's shift. */
+    Duration banRetryAfter = std::chrono::hours(1);
+    /** How long records are kept that hold no request back; a crash that comes later counts as the first. */
+    std::chrono::milliseconds retention = std::chrono::hours(1);
+    /** How long records of held-back requests are kept: a ban ends a day after the last crash, or when an operator clears it. */
+    std::chrono::milliseconds heldRetention = std::chrono::hours(24);
+    std::size_t maxRecords = 2048; ///< some 0.5 KB each; the oldest that hold no request back are evicted first
+    std::size_t maxCompletions = 4096; ///< recent completions: 400 a second, ten times the rate of a busy host
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/crashwatch.cpp
+++ b/fulmarlink/crashwatch.cpp
@@ -1,4 +1,4 @@
-// Each co_await stands in a statement of its own, as in gatewayexchange.cpp.
+// Each co_await is a statement of its own; the reason is in gatewayexchange.cpp.
 
 #include "fulmarlink/crashwatch.h"
 
@@ -20,22 +20,22 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds kProbe{
-    100}; ///< a connection that is refused is refused within a cross-zone round trip; a lost packet costs more than it tells
-constexpr Duration kConfirm
-    = std::chrono::milliseconds(100); ///< a runner that only turned callers away answers the others meanwhile; far below a restart's time
-constexpr unsigned kLooks = 5; ///< 0.5 s: a lost packet comes again after 0.2 s and then 0.4 s
+/** A refusal arrives within a cross-zone round trip; waiting longer for a lost packet costs more than it is worth. */
+constexpr std::chrono::milliseconds kProbeTimeout{100};
+/** Long enough for a runner that only refuses new connections to send events on its open ones; far shorter than a restart. */
+constexpr Duration kProbeInterval = std::chrono::milliseconds(100);
+constexpr unsigned kProbes = 5; ///< over 0.5 s: a lost packet is sent again after 0.2 s and then after 0.4 s
 /**
- * A store holds an answer back for so long where nothing happens, 0.4 calls a second. A connection that has gone silent is noticed by then, in less
- * time than a platform gives for what all hosts must know.
+ * How long the store may hold an answer back while nothing changes: 0.4 calls a second. A connection that has gone silent is noticed after this time,
+ * which is less than the platform allows until all hosts must know a record.
  */
-constexpr std::chrono::milliseconds kWait{2500};
-constexpr Duration kReadAll = std::chrono::seconds(10); ///< a change that was not told of is known by then
+constexpr std::chrono::milliseconds kLongPoll{2500};
+constexpr Duration kFullReadInterval = std::chrono::seconds(10); ///< bounds the delay of a change that the store did not announce
 constexpr Duration kStoreRetry = std::chrono::milliseconds(250); ///< as for the other reads of the store
-constexpr std::size_t kMaxQueue = 64; ///< records; a host sees fewer runners end within an outage
-constexpr std::size_t kMaxSuspects = 64; ///< of one record; a runner has some dozen requests in progress, of one host a few
-constexpr std::size_t kMaxEnded = 256; ///< lives that were told of; a runner's old connections break off within seconds of its end
-constexpr Duration kDropOld = std::chrono::minutes(1);
+constexpr std::size_t kMaxQueue = 64; ///< records; a host sees fewer runners end during a store outage
+constexpr std::size_t kMaxSuspects = 64; ///< per record; a runner has some dozen requests in progress, a few of them from one host
+constexpr std::size_t kMaxEnded = 256; ///< incarnations already handled; a runner's old connections break off within seconds of its end
+constexpr Duration kExpiryInterval = std::chrono::minutes(1);
 
 std::chrono::milliseconds unixNow()
 {
@@ -51,16 +51,16 @@
     return result;
 }
 
-std::string textOf(const std::vector<TargetLife> &lives)
+std::string textOf(const std::vector<TargetIncarnation> &incarnations)
 {
     std::string result;
-    for (const TargetLife &life : lives) {
-        result += (result.empty() ? "" : ",") + life.id + '@' + std::to_string(life.born);
+    for (const TargetIncarnation &incarnation : incarnations) {
+        result += (result.empty() ? "" : ",") + incarnation.id + '@' + std::to_string(incarnation.born);
     }
     return result;
 }
 
-TargetLife lifeOf(const TargetInfo &target)
+TargetIncarnation incarnationOf(const TargetInfo &target)
 {
     return {target.id, target.born};
 }
@@ -71,7 +71,7 @@
     : m_context(context)
     , m_state(state)
     , m_platform(platform)
-    , m_wake(context, asio::steady_timer::time_point::max())
+    , m_wakePublisher(context, asio::steady_timer::time_point::max())
     , m_runnersEnded(state.counters.registerCounter("fulmarlink_runners_ended_total"))
     , m_heldBack(state.counters.registerCounter("fulmarlink_requests_held_back"))
     , m_records(state.counters.registerCounter("fulmarlink_crash_records"))
@@ -82,26 +82,26 @@
 
 asio::awaitable<void> CrashWatch::sleep(Duration duration)
 {
-    boost::system::error_code ignored; // the timer is not cancelled
+    boost::system::error_code ignored; // this timer is never cancelled
     asio::steady_timer timer(m_context, duration);
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-/** One line when the store is lost and one when it is there again, not one for each try. */
-void CrashWatch::noteStore(bool &before, bool now, const char *event, const std::error_code &error) const
+/** Logs a line only when the store becomes unavailable or available again, not one for each attempt. */
+void CrashWatch::logStoreState(bool &available, bool nowAvailable, const char *event, const std::error_code &error) const
 {
-    if (before == now) {
+    if (available == nowAvailable) {
         return;
     }
-    before = now;
+    available = nowAvailable;
     logChange(event,
-              {{"done", now ? "true" : "false"},
-               {"error", now ? std::string() : error.message()},
+              {{"done", nowAvailable ? "true" : "false"},
+               {"error", nowAvailable ? std::string() : error.message()},
                {"records", std::to_string(m_state.crashes.size())},
                {"waiting", std::to_string(m_queue.size())}});
 }
 
-Duration CrashWatch::retryPause()
+Duration CrashWatch::retryDelay()
 {
     return kStoreRetry + Duration(static_cast<Duration::rep>(m_state.random() % static_cast<std::uint64_t>(kStoreRetry.count())));
 }
@@ -109,78 +109,78 @@
 asio::awaitable<void> CrashWatch::run()
 {
     std::uint64_t revision = 0;
-    TimePoint readAll{};
-    TimePoint droppedOld = m_state.clock.now();
+    TimePoint lastFullRead{};
+    TimePoint lastExpiry = m_state.clock.now();
     for (;;) {
         const TimePoint began = m_state.clock.now();
         SharedRecordsRead read;
-        if (revision == 0 || began - readAll >= kReadAll) {
+        if (revision == 0 || began - lastFullRead >= kFullReadInterval) {
             read = co_await m_platform.readSharedRecords();
-            readAll = read.error ? readAll : began;
+            lastFullRead = read.error ? lastFullRead : began;
         } else {
-            read = co_await m_platform.awaitSharedRecords(revision, kWait);
+            read = co_await m_platform.awaitSharedRecords(revision, kLongPoll);
         }
         const bool failed = read.error && read.error != ResultCode::ObjectNotFound;
-        noteStore(m_readable, !failed, "crash-records-read", read.error);
+        logStoreState(m_readable, !failed, "crash-records-read", read.error);
         if (failed) {
             revision = read.error == ResultCode::StoreHistoryGone ? 0 : revision;
-            co_await sleep(retryPause());
+            co_await sleep(retryDelay());
             continue;
         }
         revision = read.revision;
-        const bool nothing = read.crashes.empty() && read.limits.empty() && read.limitsEnded.empty();
-        take(std::move(read));
-        if (nothing && m_state.clock.now() - began < kStoreRetry) { // it does not hold answers back: it must not be asked without a pause
-            co_await sleep(retryPause());
+        const bool unchanged = read.crashes.empty() && read.limits.empty() && read.limitsEnded.empty();
+        apply(std::move(read));
+        if (unchanged && m_state.clock.now() - began < kStoreRetry) { // the store does not hold answers back: wait, to avoid polling it in a tight loop
+            co_await sleep(retryDelay());
         }
-        if (m_state.clock.now() - droppedOld >= kDropOld) {
-            droppedOld = m_state.clock.now();
-            co_await dropOld();
+        if (m_state.clock.now() - lastExpiry >= kExpiryInterval) {
+            lastExpiry = m_state.clock.now();
+            co_await removeExpired();
         }
-        if (revision == 0) { // a store that says no revision can't be waited on
-            co_await sleep(kWait);
+        if (revision == 0) { // a store that reports no revision can't be waited on
+            co_await sleep(kLongPoll);
         }
     }
 }
 
-void CrashWatch::take(SharedRecordsRead read)
+void CrashWatch::apply(SharedRecordsRead read)
 {
     m_state.limitWatch->applyRecords(read);
     for (CrashRecord &record : read.crashes) {
-        take(std::move(record));
+        apply(std::move(record));
     }
     m_state.crashesKnown = true;
-    queueClearings();
+    queueClearances();
     m_state.counters.set(m_records, m_state.crashes.size());
-    m_state.counters.set(m_recordsDropped, m_state.crashes.dropped());
-    m_state.counters.set(m_heldBack, m_state.crashes.held(m_state.clock.now()).size());
+    m_state.counters.set(m_recordsDropped, m_state.crashes.droppedRecords());
+    m_state.counters.set(m_heldBack, m_state.crashes.heldRequests(m_state.clock.now()).size());
 }
 
-void CrashWatch::take(CrashRecord record)
+void CrashWatch::apply(CrashRecord record)
 {
     const CrashRecord copy = record;
     if (m_state.crashes.add(std::move(record), m_state.clock.now())) {
-        noteStandings(copy);
+        logStatuses(copy);
     }
 }
 
-/** One line for each request that the record holds back, or lets go. */
-void CrashWatch::noteStandings(const CrashRecord &record)
+/** Logs a line for each request that the record clears, and for each that now has two crashes or more. */
+void CrashWatch::logStatuses(const CrashRecord &record)
 {
     for (const CrashSuspect &suspect : record.suspects) {
-        const CrashStanding standing = m_state.crashes.standing(suspect.fingerprint, m_state.clock.now());
-        const bool let = record.kind == CrashRecordKind::Cleared;
-        if (standing.crashes < 2 && !let) {
+        const CrashStatus status = m_state.crashes.status(suspect.fingerprint, m_state.clock.now());
+        const bool isClearance = record.kind == CrashRecordKind::Cleared;
+        if (status.crashes < 2 && !isClearance) {
             continue;
         }
-        logWarning(let ? "request-cleared" : "request-suspected",
+        logWarning(isClearance ? "request-cleared" : "request-suspected",
                    {{"fingerprint", suspect.fingerprint.text()},
                     {"customer", suspect.customer},
                     {"route", suspect.route},
-                    {"verdict", crashVerdictName(standing.verdict)},
-                    {"crashes", std::to_string(standing.crashes)},
-                    {"trials", std::to_string(standing.trials)},
-                    {"lives", textOf(record.lives)},
+                    {"verdict", crashVerdictName(status.verdict)},
+                    {"crashes", std::to_string(status.crashes)},
+                    {"trials", std::to_string(status.trials)},
+                    {"lives", textOf(record.incarnations)},
                     {"told_by", record.host}});
     }
 }
@@ -192,7 +192,7 @@
     auto connection = std::make_shared<TargetConnection>(m_context.get_executor());
     connection->target = target.id;
     connection->pool = target.pool;
-    connection->stream.expires_after(kProbe);
+    connection->stream.expires_after(kProbeTimeout);
     co_await connection->stream.async_connect({address, target.address.port}, asio::redirect_error(asio::use_awaitable, error));
     if (!error) {
         connection->idleLimit = TargetConnections::kDefaultIdle;
@@ -203,146 +203,147 @@
 
 asio::awaitable<bool> CrashWatch::seemsEnded(TargetInfo target)
 {
-    const TargetLife life = lifeOf(target);
-    if (m_ended.contains(life) || m_suspected.contains(life)) {
+    const TargetIncarnation incarnation = incarnationOf(target);
+    if (m_ended.contains(incarnation) || m_unconfirmed.contains(incarnation)) {
         co_return true;
     }
     const bool refused = co_await refusesConnections(target);
-    if (refused && m_suspected.insert(life).second) {
-        asio::co_spawn(m_context, confirm(std::move(target)), asio::detached);
+    if (refused && m_unconfirmed.insert(incarnation).second) {
+        asio::co_spawn(m_context, confirmEnded(std::move(target)), asio::detached);
     }
     co_return refused;
 }
 
 /**
- * A connection whose last packet was lost seems to be open for a while after its runner has
- * ended, so as long as new ones are refused it is looked at a few times more.
+ * A connection whose last packet was lost still looks open for a while after its runner has
+ * ended. So the runner is probed several times, as long as it refuses new connections.
  */
-asio::awaitable<void> CrashWatch::confirm(TargetInfo target)
+asio::awaitable<void> CrashWatch::confirmEnded(TargetInfo target)
 {
-    const TargetLife life = lifeOf(target);
+    const TargetIncarnation incarnation = incarnationOf(target);
     const TimePoint began = m_state.clock.now();
     bool refused = true;
-    bool gone = false;
-    for (unsigned look = 1; look <= kLooks && refused && !gone; ++look) {
-        co_await sleep(kConfirm);
+    bool hasEnded = false;
+    for (unsigned probe = 1; probe <= kProbes && refused && !hasEnded; ++probe) {
+        co_await sleep(kProbeInterval);
         refused = co_await refusesConnections(target);
-        const bool silent = look == kLooks && m_state.targets.lastHeard(life.id) < began;
-        gone = refused && (silent || !m_state.attempts.anyInProgress(life));
+        const bool silent = probe == kProbes && m_state.targets.lastHeard(incarnation.id) < began;
+        hasEnded = refused && (silent || !m_state.attempts.anyInProgress(incarnation));
     }
-    m_suspected.erase(life);
-    if (gone) {
-        ended(life, "refused");
+    m_unconfirmed.erase(incarnation);
+    if (hasEnded) {
+        handleEnded(incarnation, "refused");
     } else {
-        logChange("runner-lives", {{"target", life.id}, {"born", std::to_string(life.born)}, {"refused", refused ? "true" : "false"}});
+        logChange("runner-lives", {{"target", incarnation.id}, {"born", std::to_string(incarnation.born)}, {"refused", refused ? "true" : "false"}});
     }
 }
 
 void CrashWatch::restarted(const std::string &targetId, std::uint64_t born)
 {
-    for (const TargetLife &life : m_state.attempts.livesOf(targetId, m_state.clock.now())) {
-        if (life.born != born) {
-            ended(life, "started-again");
+    for (const TargetIncarnation &incarnation : m_state.attempts.livesOf(targetId, m_state.clock.now())) {
+        if (incarnation.born != born) {
+            handleEnded(incarnation, "started-again");
         }
     }
 }
 
-void CrashWatch::ended(const TargetLife &life, std::string_view evidence)
+void CrashWatch::handleEnded(const TargetIncarnation &incarnation, std::string_view evidence)
 {
     const TimePoint now = m_state.clock.now();
-    std::vector<CrashSuspect> suspects = m_state.attempts.takeSuspects(life, now);
+    std::vector<CrashSuspect> suspects = m_state.attempts.takeSuspects(incarnation, now);
     std::erase_if(suspects, [&](const CrashSuspect &suspect) {
-        return m_state.crashes.endedWellLately(suspect.fingerprint, now);
+        return m_state.crashes.completedRecently(suspect.fingerprint, now);
     });
     suspects.resize(std::min(suspects.size(), kMaxSuspects));
-    if (m_ended.insert(life).second) {
-        m_endedOrder.push_back(life);
+    if (m_ended.insert(incarnation).second) {
+        m_endedOrder.push_back(incarnation);
         m_state.counters.add(m_runnersEnded);
     }
     if (m_endedOrder.size() > kMaxEnded) {
         m_ended.erase(m_endedOrder.front());
         m_endedOrder.pop_front();
     }
-    logWarning("runner-ended", {{"target", life.id}, {"born", std::to_string(life.born)}, {"evidence", evidence}, {"suspects", textOf(suspects)}});
+    logWarning("runner-ended",
+               {{"target", incarnation.id}, {"born", std::to_string(incarnation.born)}, {"evidence", evidence}, {"suspects", textOf(suspects)}});
     if (suspects.empty()) {
         return;
     }
-    CrashRecord record = ownRecord(CrashRecordKind::Crash, "crash." + life.id + '.' + std::to_string(life.born));
-    record.lives.push_back(life);
+    CrashRecord record = newRecord(CrashRecordKind::Crash, "crash." + incarnation.id + '.' + std::to_string(incarnation.born));
+    record.incarnations.push_back(incarnation);
     record.suspects = std::move(suspects);
-    queue(record);
-    take(std::move(record));
-    queueClearings();
+    enqueue(record);
+    apply(std::move(record));
+    queueClearances();
 }
 
-/** A name that no other record has: this host's, by its own count and time. */
-CrashRecord CrashWatch::ownRecord(CrashRecordKind kind, const std::string &name) const
+/** Returns a record of this host. Its name is unique: the prefix, the host, the time and a counter. */
+CrashRecord CrashWatch::newRecord(CrashRecordKind kind, const std::string &namePrefix) const
 {
     CrashRecord record;
     record.kind = kind;
     record.host = m_state.settings.host;
     record.writtenAt = unixNow();
-    record.name = name + '.' + record.host + '.' + std::to_string(record.writtenAt.count()) + '-' + std::to_string(m_written);
+    record.name = namePrefix + '.' + record.host + '.' + std::to_string(record.writtenAt.count()) + '-' + std::to_string(m_enqueued);
     return record;
 }
 
-void CrashWatch::queueClearings()
+void CrashWatch::queueClearances()
 {
-    for (CrashRecord &clearing : m_state.crashes.takeClearings()) {
-        CrashRecord record = ownRecord(CrashRecordKind::Cleared, "cleared." + clearing.suspects.front().fingerprint.text());
-        record.lives = std::move(clearing.lives);
-        record.suspects = std::move(clearing.suspects);
-        queue(record);
-        take(std::move(record));
+    for (CrashRecord &clearance : m_state.crashes.takeClearances()) {
+        CrashRecord record = newRecord(CrashRecordKind::Cleared, "cleared." + clearance.suspects.front().fingerprint.text());
+        record.incarnations = std::move(clearance.incarnations);
+        record.suspects = std::move(clearance.suspects);
+        enqueue(record);
+        apply(std::move(record));
     }
 }
 
-void CrashWatch::queue(CrashRecord record)
+void CrashWatch::enqueue(CrashRecord record)
 {
-    ++m_written;
+    ++m_enqueued;
     if (m_queue.size() >= kMaxQueue) {
         m_state.counters.add(m_unwritten);
         logWarning("crash-record-dropped", {{"record", m_queue.front().name}});
         m_queue.pop_front();
     }
     m_queue.push_back(std::move(record));
-    m_wake.cancel();
+    m_wakePublisher.cancel();
 }
 
 asio::awaitable<void> CrashWatch::publish()
 {
-    boost::system::error_code ignored; // cancelled when there is something to write
+    boost::system::error_code ignored; // the timer is cancelled when a record is queued
     for (;;) {
         if (m_queue.empty()) {
-            m_wake.expires_at(asio::steady_timer::time_point::max());
-            co_await m_wake.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+            m_wakePublisher.expires_at(asio::steady_timer::time_point::max());
+            co_await m_wakePublisher.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
             continue;
         }
         const CrashRecord record = m_queue.front();
         const std::error_code error = co_await m_platform.writeCrashRecord(record);
-        const bool there = !error || error == ResultCode::VersionConflict; // from an earlier write whose answer was lost
-        if (there && !m_queue.empty() && m_queue.front().name == record.name) {
+        const bool written = !error || error == ResultCode::VersionConflict; // a conflict: an earlier write succeeded but its answer was lost
+        if (written && !m_queue.empty() && m_queue.front().name == record.name) {
             m_queue.pop_front();
         }
-        noteStore(m_writable, there, "crash-record-written", error);
-        co_await sleep(there ? m_state.sharedWritePause() : retryPause());
+        logStoreState(m_writable, written, "crash-record-written", error);
+        co_await sleep(written ? m_state.sharedWritePause() : retryDelay());
     }
 }
 
 asio::awaitable<bool> CrashWatch::claimTrial(CrashSuspect suspect)
 {
-    const unsigned trials = m_state.crashes.standing(suspect.fingerprint, m_state.clock.now()).trials;
-    CrashRecord record = ownRecord(CrashRecordKind::Trial, {});
+    const unsigned trials = m_state.crashes.status(suspect.fingerprint, m_state.clock.now()).trials;
+    CrashRecord record = newRecord(CrashRecordKind::Trial, {});
     record.name = "trial." + suspect.fingerprint.text() + '.' + std::to_string(trials + 1);
     record.suspects.push_back(std::move(suspect));
     const std::error_code error = co_await m_platform.writeCrashRecord(record);
     if (!error) {
-        take(std::move(record));
+        apply(std::move(record));
     }
     co_return !error;
 }
 
-asio::awaitable<void> CrashWatch::dropOld()
+asio::awaitable<void> CrashWatch::removeExpired()
 {
     for (const std::string &name : m_state.crashes.expire(unixNow(), m_state.settings.host)) {
         const std::error_code error = co_await m_platform.removeCrashRecord(name);
--- a/fulmarlink/crashwatch.h
+++ b/fulmarlink/crashwatch.h
@@ -19,60 +19,64 @@
 struct SharedRecordsRead;
 
 /**
- * Finds out which runners have ended, and shares the requests that were in progress there
- * with all hosts through the store.
+ * Detects runners that have ended, and shares the requests that were in progress there with
+ * all hosts through the store.
  *
- * A connection that is reset says nothing about its runner. A runner counts as ended when
- * new connections are refused, again and again, and all of this host's attempts there have
- * broken off or been silent for half a second, or when its entry shows that it has started
- * again.
+ * A reset connection alone doesn't show that a runner has ended. A runner counts as ended
+ * when it refuses several new connections in a row and all of this host's attempts there
+ * have broken off or been silent for half a second, or when its entry shows a restart.
  *
  * The store is written to only after a runner has ended. A record that can't be written
- * waits; what this host knows holds here all the same.
+ * stays queued; on this host it takes effect at once.
  *
- * How to use: run() and publish() once each, as coroutines of the process's thread.
+ * Start run() and publish() once each, as coroutines on the process's thread.
  */
 class CrashWatch
 {
 public:
     CrashWatch(boost::asio::io_context &context, GatewayState &state, Platform &platform);
 
+    /** Reads the shared records as they change and removes expired ones. */
     boost::asio::awaitable<void> run();
+    /** Writes queued records to the store. */
     boost::asio::awaitable<void> publish();
 
-    /** For an attempt whose connection broke off: whether the runner seems to have ended. Takes one refused connection, or one that is kept for later. */
+    /**
+     * For an attempt whose connection broke off: whether the runner seems to have ended. Costs one new connection; if the runner
+     * accepts it, it joins the connection pool, otherwise the check continues in the background.
+     */
     boost::asio::awaitable<bool> seemsEnded(TargetInfo target);
-    /** The list shows that the runner has started again. */
+    /** The list of runners shows the runner with start time @p born: its earlier incarnations have ended. */
     void restarted(const std::string &targetId, std::uint64_t born);
-    /** True for one host only: it may run the request that is held back. */
+    /** Claims the next trial of a request that is held back; true on one host only. */
     boost::asio::awaitable<bool> claimTrial(CrashSuspect suspect);
 
 private:
     boost::asio::awaitable<bool> refusesConnections(const TargetInfo &target);
-    boost::asio::awaitable<void> confirm(TargetInfo target);
+    boost::asio::awaitable<void> confirmEnded(TargetInfo target);
     boost::asio::awaitable<void> sleep(Duration duration);
-    void ended(const TargetLife &life, std::string_view evidence);
-    void take(SharedRecordsRead read);
-    void take(CrashRecord record);
-    void queue(CrashRecord record);
-    void queueClearings();
-    void noteStore(bool &before, bool now, const char *event, const std::error_code &error) const;
-    Duration retryPause();
-    boost::asio::awaitable<void> dropOld();
-    void noteStandings(const CrashRecord &record);
-    CrashRecord ownRecord(CrashRecordKind kind, const std::string &name) const;
+    void handleEnded(const TargetIncarnation &incarnation, std::string_view evidence);
+    void apply(SharedRecordsRead read);
+    void apply(CrashRecord record);
+    void enqueue(CrashRecord record);
+    void queueClearances();
+    void logStoreState(bool &available, bool nowAvailable, const char *event, const std::error_code &error) const;
+    Duration retryDelay();
+    boost::asio::awaitable<void> removeExpired();
+    void logStatuses(const CrashRecord &record);
+    CrashRecord newRecord(CrashRecordKind kind, const std::string &namePrefix) const;
 
     boost::asio::io_context &m_context;
     GatewayState &m_state;
     Platform &m_platform;
-    boost::asio::steady_timer m_wake; ///< of publish()
-    std::deque<CrashRecord> m_queue; ///< not written yet
-    std::set<TargetLife> m_suspected; ///< seem to have ended; being confirmed
-    std::set<TargetLife> m_ended; ///< the last kMaxEnded
-    std::deque<TargetLife> m_endedOrder;
-    std::uint64_t m_written = 0;
-    bool m_readable = false; ///< the last reading of records succeeded
-    bool m_writable = true; ///< the last writing of a record did
+    boost::asio::steady_timer m_wakePublisher; ///< cancelled when m_queue has a new record
+    std::deque<CrashRecord> m_queue; ///< records to write, oldest first
+    std::set<TargetIncarnation> m_unconfirmed; ///< seem to have ended; being confirmed
+    std::set<TargetIncarnation> m_ended; ///< the latest kMaxEnded
+    std::deque<TargetIncarnation> m_endedOrder; ///< m_ended, oldest first
+    std::uint64_t m_enqueued = 0; ///< records so far; makes their names unique
+    bool m_readable = false; ///< the last read of records succeeded
+    bool m_writable = true; ///< the last write of a record succeeded
     Counters::Id m_runnersEnded;
     Counters::Id m_heldBack;
     Counters::Id m_records;
--- a/fulmarlink/gatewaycrashes.cpp
+++ b/fulmarlink/gatewaycrashes.cpp
@@ -1,7 +1,7 @@
-// What an exchange does about runners that end: whether the request may still go to one, and
-// what the end of an attempt tells of the request and of its runner.
+// The part of GatewayExchange that handles runner crashes: whether the request may still be
+// sent to a runner, and what the end of an attempt shows about the request and its runner.
 //
-// Each co_await stands in a statement of its own, as in gatewayexchange.cpp.
+// Each co_await is a statement of its own; the reason is in gatewayexchange.cpp.
 
 #include "fulmarlink/crashwatch.h"
 #include "fulmarlink/gatewayexchange.h"
@@ -25,22 +25,22 @@
 
 bool GatewayExchange::checkCrashes()
 {
-    const CrashStanding standing = m_state.crashes.standing(m_fingerprint, m_arrived);
-    m_trial = standing.verdict == CrashVerdict::TrialDue;
-    if (standing.verdict != CrashVerdict::HeldBack && standing.verdict != CrashVerdict::Banned) {
+    const CrashStatus status = m_state.crashes.status(m_fingerprint, m_arrived);
+    m_trial = status.verdict == CrashVerdict::TrialDue;
+    if (status.verdict != CrashVerdict::HeldBack && status.verdict != CrashVerdict::Banned) {
         return true;
     }
-    m_reason = std::string(crashVerdictName(standing.verdict)) + " crashes " + std::to_string(standing.crashes);
-    return refuse(ResultCode::RequestEndsRunners, standing.retryAfter);
+    m_reason = std::string(crashVerdictName(status.verdict)) + " crashes " + std::to_string(status.crashes);
+    return refuse(ResultCode::RequestEndsRunners, status.retryAfter);
 }
 
-/** Whether runners have ended under it at other hosts since it was taken here. */
+/** Whether the request must be held back by now, because of crashes that became known after its arrival. */
 bool GatewayExchange::heldBack()
 {
-    const CrashStanding standing = m_state.crashes.standing(m_fingerprint, m_state.clock.now());
-    const bool held = standing.verdict == CrashVerdict::HeldBack || standing.verdict == CrashVerdict::TrialDue;
-    m_heldBack = standing.verdict == CrashVerdict::Banned || (held && !m_trial);
-    m_retryAfter = m_heldBack ? standing.retryAfter : m_retryAfter;
+    const CrashStatus status = m_state.crashes.status(m_fingerprint, m_state.clock.now());
+    const bool held = status.verdict == CrashVerdict::HeldBack || status.verdict == CrashVerdict::TrialDue;
+    m_heldBack = status.verdict == CrashVerdict::Banned || (held && !m_trial);
+    m_retryAfter = m_heldBack ? status.retryAfter : m_retryAfter;
     return m_heldBack;
 }
 
@@ -52,17 +52,17 @@
         co_return true;
     }
     m_reason = "trial at another host";
-    co_return refuse(ResultCode::RequestEndsRunners, m_state.settings.crashes.holdFor);
+    co_return refuse(ResultCode::RequestEndsRunners, m_state.settings.crashes.holdTime);
 }
 
-/** What the attempt's end tells of the request and of its runner. */
+/** Records the end of the attempt: in the runner's attempts, for the request's crash status, and, if the connection broke off, whether the runner ended. */
 asio::awaitable<void> GatewayExchange::noteEnd(const TargetInfo &target, AttemptEnd end)
 {
     const TimePoint now = m_state.clock.now();
     const bool broken = end == AttemptEnd::Broken && !m_gone;
     m_state.attempts.ended(m_attempt, broken ? RunnerAttempts::End::BrokenOff : RunnerAttempts::End::Known, now);
     if (end == AttemptEnd::Answered || end == AttemptEnd::Failed) {
-        m_state.crashes.endedWell(m_fingerprint, now);
+        m_state.crashes.requestCompleted(m_fingerprint, now);
     }
     if (broken && m_cut) {
         const bool ended = co_await m_state.crashWatch->seemsEnded(target);
--- a/fulmarlink/gatewaysettings.cpp
+++ b/fulmarlink/gatewaysettings.cpp
@@ -75,10 +75,10 @@
     settings.retrySlack = bounds.real("retry_slack", settings.retrySlack, 0, kMaxSlack);
     const YamlReader crashes = reader.child("crashes");
     crashes.keys({"hold_ms", "well_ms", "keep_ms", "keep_held_ms"});
-    settings.crashes.holdFor = readMs(crashes, "hold_ms", asMs(settings.crashes.holdFor));
-    settings.crashes.wellFor = readMs(crashes, "well_ms", asMs(settings.crashes.wellFor));
-    settings.crashes.keep = readMs(crashes, "keep_ms", settings.crashes.keep, kMaxKeepMs);
-    settings.crashes.keepHeld = readMs(crashes, "keep_held_ms", settings.crashes.keepHeld, kMaxKeepMs);
+    settings.crashes.holdTime = readMs(crashes, "hold_ms", asMs(settings.crashes.holdTime));
+    settings.crashes.completionWindow = readMs(crashes, "well_ms", asMs(settings.crashes.completionWindow));
+    settings.crashes.retention = readMs(crashes, "keep_ms", settings.crashes.retention, kMaxKeepMs);
+    settings.crashes.heldRetention = readMs(crashes, "keep_held_ms", settings.crashes.heldRetention, kMaxKeepMs);
     const YamlReader planner = reader.child("planner");
     planner.keys({"skew_weight", "cost_weight", "sampled_ranks", "first_copies_ms", "copies_ms", "least_improvement", "rest_share"});
     settings.sampledRanks = static_cast<unsigned>(planner.number("sampled_ranks", settings.sampledRanks, 1, 1000));
--- a/fulmarlink/guardedplatform.cpp
+++ b/fulmarlink/guardedplatform.cpp
@@ -114,7 +114,7 @@
     return guarded(m_platform->writeLimitRecord(std::move(record)), "write-limit-record");
 }
 
-asio::awaitable<std::error_code> GuardedPlatform::removeLimitRecord(TargetLife life)
+asio::awaitable<std::error_code> GuardedPlatform::removeLimitRecord(TargetIncarnation life)
 {
     return guarded(m_platform->removeLimitRecord(std::move(life)), "remove-limit-record");
 }
--- a/fulmarlink/limitpacer.cpp
+++ b/fulmarlink/limitpacer.cpp
@@ -31,7 +31,7 @@
 }
 
 /** The order in which hosts come for a runner; the same on all hosts. */
-std::uint64_t rendezvousWeight(const std::string &host, const TargetLife &life)
+std::uint64_t rendezvousWeight(const std::string &host, const TargetIncarnation &life)
 {
     const std::string key = host + '\n' + life.id + '\n' + std::to_string(life.born);
     return XXH3_64bits(key.data(), key.size());
@@ -64,7 +64,7 @@
     return runner.next + interval(runner) * (late / interval(runner) + 1);
 }
 
-double LimitPacer::computeShare(const TargetLife &life, double perSecond) const
+double LimitPacer::computeShare(const TargetIncarnation &life, double perSecond) const
 {
     const double rate = std::clamp(perSecond, m_options.minPerSecond, kMaxPerSecond);
     if (m_hosts.empty()) {
@@ -111,25 +111,25 @@
     }
 }
 
-void LimitPacer::setLimit(const TargetLife &life, double perSecond, TimePoint now, Random &random)
+void LimitPacer::setLimit(const TargetIncarnation &life, double perSecond, TimePoint now, Random &random)
 {
     PacedRunner &runner = m_runners[life];
     runner.perSecond = perSecond;
     setShare(runner, computeShare(life, perSecond), now, random);
 }
 
-void LimitPacer::removeLimit(const TargetLife &life)
+void LimitPacer::removeLimit(const TargetIncarnation &life)
 {
     m_runners.erase(life);
 }
 
-bool LimitPacer::canSend(const TargetLife &life, TimePoint now) const
+bool LimitPacer::canSend(const TargetIncarnation &life, TimePoint now) const
 {
     const auto next = nextSendTime(life, now);
     return next && *next <= now;
 }
 
-std::optional<TimePoint> LimitPacer::nextSendTime(const TargetLife &life, TimePoint now) const
+std::optional<TimePoint> LimitPacer::nextSendTime(const TargetIncarnation &life, TimePoint now) const
 {
     const auto it = m_runners.find(life);
     if (it == m_runners.end() || mutated(Mutation::IgnoreLimits)) {
@@ -141,7 +141,7 @@
     return std::max(now, usableSlot(it->second, now));
 }
 
-bool LimitPacer::tryAcquire(const TargetLife &life, TimePoint now)
+bool LimitPacer::tryAcquire(const TargetIncarnation &life, TimePoint now)
 {
     if (!canSend(life, now)) {
         return false;
@@ -156,13 +156,13 @@
     return true;
 }
 
-std::optional<double> LimitPacer::shareOf(const TargetLife &life) const
+std::optional<double> LimitPacer::shareOf(const TargetIncarnation &life) const
 {
     const auto it = m_runners.find(life);
     return it == m_runners.end() ? std::nullopt : std::optional(it->second.share);
 }
 
-double LimitPacer::limitOf(const TargetLife &life) const
+double LimitPacer::limitOf(const TargetIncarnation &life) const
 {
     const auto it = m_runners.find(life);
     return it == m_runners.end() ? 0 : std::max(it->second.perSecond, m_options.minPerSecond);
--- a/fulmarlink/limitpacer.h
+++ b/fulmarlink/limitpacer.h
@@ -41,19 +41,19 @@
 
     /** The hosts that live, with or without @p self; empty: not known. */
     void setHosts(std::vector<std::string> hosts, const std::string &self, TimePoint now, Random &random);
-    void setLimit(const TargetLife &life, double perSecond, TimePoint now, Random &random);
-    void removeLimit(const TargetLife &life);
+    void setLimit(const TargetIncarnation &life, double perSecond, TimePoint now, Random &random);
+    void removeLimit(const TargetIncarnation &life);
 
     /** Whether this host may send a request there now; always where no limit is known. */
-    bool canSend(const TargetLife &life, TimePoint now) const;
+    bool canSend(const TargetIncarnation &life, TimePoint now) const;
     /** The same, and uses the room up. */
-    bool tryAcquire(const TargetLife &life, TimePoint now);
+    bool tryAcquire(const TargetIncarnation &life, TimePoint now);
     /** When this host may send there again: @p now if it may at once; nothing if it leaves the runner out. */
-    std::optional<TimePoint> nextSendTime(const TargetLife &life, TimePoint now) const;
+    std::optional<TimePoint> nextSendTime(const TargetIncarnation &life, TimePoint now) const;
     /** Of this host, in requests a second; nothing if no limit is known. */
-    std::optional<double> shareOf(const TargetLife &life) const;
+    std::optional<double> shareOf(const TargetIncarnation &life) const;
     /** As the runner named it, or the least that it gets; 0 if no limit is known. */
-    double limitOf(const TargetLife &life) const;
+    double limitOf(const TargetIncarnation &life) const;
     bool hasLimits() const;
     /** Hosts that live, as far as is known. */
     unsigned hostCount() const;
@@ -68,13 +68,13 @@
     static Duration interval(const PacedRunner &runner);
     Duration slotLifetime(const PacedRunner &runner) const;
     TimePoint usableSlot(const PacedRunner &runner, TimePoint now) const;
-    double computeShare(const TargetLife &life, double perSecond) const;
+    double computeShare(const TargetIncarnation &life, double perSecond) const;
     void setShare(PacedRunner &runner, double share, TimePoint now, Random &random) const;
 
     const LimitPacerOptions m_options;
     std::vector<std::string> m_hosts; ///< this one included; empty: not known
     std::string m_self;
-    std::map<TargetLife, PacedRunner> m_runners;
+    std::map<TargetIncarnation, PacedRunner> m_runners;
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/limitrecord.h
+++ b/fulmarlink/limitrecord.h
@@ -14,7 +14,7 @@
  * has ended. Whichever host writes last is believed until the runner's next answer.
  */
 struct LimitRecord {
-    TargetLife life;
+    TargetIncarnation life;
     double perSecond = 0; ///< requests that the runner takes from all hosts together
     std::string host; ///< that wrote it
     std::chrono::milliseconds writtenAt{0}; ///< Unix time by that host's clock
--- a/fulmarlink/limitwatch.cpp
+++ b/fulmarlink/limitwatch.cpp
@@ -47,7 +47,7 @@
 
 void LimitWatch::handleAnswer(const TargetInfo &target, const RunnerAnswer &answer, TimePoint sent, const std::string &attempt)
 {
-    const TargetLife life{target.id, target.born};
+    const TargetIncarnation life{target.id, target.born};
     if (!answer.malformedLimit.empty()) {
         noteMalformed(life, answer.malformedLimit);
         return;
@@ -68,7 +68,7 @@
 
 void LimitWatch::applyRecords(const SharedRecordsRead &read)
 {
-    std::set<TargetLife> present;
+    std::set<TargetIncarnation> present;
     for (const LimitRecord &record : read.limits) {
         present.insert(record.life);
         m_storedLimits[record.life] = record.perSecond;
@@ -80,13 +80,13 @@
         const RunnerLimit before = current == nullptr ? RunnerLimit{} : *current;
         noteChange(record.life, m_state.signals.limits.applyRecord(record.life, record.perSecond, record.host, m_state.clock.now()), before);
     }
-    for (const TargetLife &life : read.limitsEnded) {
+    for (const TargetIncarnation &life : read.limitsEnded) {
         handleRemovedRecord(life);
     }
     if (!read.whole) {
         return;
     }
-    const std::map<TargetLife, double> stored = m_storedLimits;
+    const std::map<TargetIncarnation, double> stored = m_storedLimits;
     for (const auto &[life, perSecond] : stored) {
         if (!present.contains(life)) {
             handleRemovedRecord(life);
@@ -95,7 +95,7 @@
 }
 
 /** Its record is gone from the store. */
-void LimitWatch::handleRemovedRecord(const TargetLife &life)
+void LimitWatch::handleRemovedRecord(const TargetIncarnation &life)
 {
     m_storedLimits.erase(life);
     const RunnerLimit *current = m_state.signals.limits.find(life);
@@ -117,8 +117,8 @@
 
 void LimitWatch::removeUnlistedRunners()
 {
-    std::set<TargetLife> unlisted;
-    for (const TargetLife &life : m_state.signals.limits.lives()) {
+    std::set<TargetIncarnation> unlisted;
+    for (const TargetIncarnation &life : m_state.signals.limits.lives()) {
         const TargetInfo *target = m_state.targets.find(life.id);
         const bool listed = target != nullptr && target->born == life.born;
         if (listed) {
@@ -135,7 +135,7 @@
     m_unlistedLives = std::move(unlisted);
 }
 
-void LimitWatch::noteChange(const TargetLife &life, LimitChange change, const RunnerLimit &before)
+void LimitWatch::noteChange(const TargetIncarnation &life, LimitChange change, const RunnerLimit &before)
 {
     if (change == LimitChange::None) {
         return;
@@ -161,7 +161,7 @@
                {"source", limit.source}});
 }
 
-void LimitWatch::noteMalformed(const TargetLife &life, const std::string &text)
+void LimitWatch::noteMalformed(const TargetIncarnation &life, const std::string &text)
 {
     m_state.counters.add(m_malformedLimitCount);
     if (m_loggedMalformed.size() < kMaxLoggedMalformed && m_loggedMalformed.insert(life).second) {
@@ -169,14 +169,14 @@
     }
 }
 
-void LimitWatch::queueRecord(const TargetLife &life)
+void LimitWatch::queueRecord(const TargetIncarnation &life)
 {
     m_pendingRecords.insert(life);
     m_wake.cancel();
 }
 
 /** Brings the record of @p life to what this host knows. */
-asio::awaitable<std::error_code> LimitWatch::synchronizeRecord(TargetLife life)
+asio::awaitable<std::error_code> LimitWatch::synchronizeRecord(TargetIncarnation life)
 {
     const auto stored = m_storedLimits.find(life);
     const RunnerLimit *current = m_state.signals.limits.find(life);
@@ -203,7 +203,7 @@
 asio::awaitable<void> LimitWatch::publish()
 {
     boost::system::error_code ignored; // cancelled when there is something to write
-    TargetLife last; // tried, so that one that can't be written holds up no other
+    TargetIncarnation last; // tried, so that one that can't be written holds up no other
     for (;;) {
         m_state.counters.set(m_pendingRecordCount, m_pendingRecords.size());
         if (m_pendingRecords.empty()) {
@@ -212,7 +212,7 @@
             continue;
         }
         const auto next = m_pendingRecords.upper_bound(last);
-        const TargetLife life = next == m_pendingRecords.end() ? *m_pendingRecords.begin() : *next;
+        const TargetIncarnation life = next == m_pendingRecords.end() ? *m_pendingRecords.begin() : *next;
         last = life;
         const std::error_code error = co_await synchronizeRecord(life);
         if (m_lastWriteSucceeded == static_cast<bool>(error)) {
--- a/fulmarlink/limitwatch.h
+++ b/fulmarlink/limitwatch.h
@@ -48,21 +48,21 @@
     void removeUnlistedRunners();
 
 private:
-    void noteChange(const TargetLife &life, LimitChange change, const RunnerLimit &before);
-    void noteMalformed(const TargetLife &life, const std::string &text);
-    void handleRemovedRecord(const TargetLife &life);
-    void queueRecord(const TargetLife &life);
-    boost::asio::awaitable<std::error_code> synchronizeRecord(TargetLife life);
+    void noteChange(const TargetIncarnation &life, LimitChange change, const RunnerLimit &before);
+    void noteMalformed(const TargetIncarnation &life, const std::string &text);
+    void handleRemovedRecord(const TargetIncarnation &life);
+    void queueRecord(const TargetIncarnation &life);
+    boost::asio::awaitable<std::error_code> synchronizeRecord(TargetIncarnation life);
     boost::asio::awaitable<void> sleep(Duration duration);
 
     boost::asio::io_context &m_context;
     GatewayState &m_state;
     Platform &m_platform;
     boost::asio::steady_timer m_wake; ///< of publish()
-    std::set<TargetLife> m_pendingRecords; ///< whose record differs from what this host has seen
-    std::map<TargetLife, double> m_storedLimits; ///< limits in the store, as last heard
-    std::set<TargetLife> m_unlistedLives; ///< lives that the list of runners did not have when removeUnlistedRunners() last looked
-    std::set<TargetLife> m_loggedMalformed; ///< lives that a line has told of
+    std::set<TargetIncarnation> m_pendingRecords; ///< whose record differs from what this host has seen
+    std::map<TargetIncarnation, double> m_storedLimits; ///< limits in the store, as last heard
+    std::set<TargetIncarnation> m_unlistedLives; ///< lives that the list of runners did not have when removeUnlistedRunners() last looked
+    std::set<TargetIncarnation> m_loggedMalformed; ///< lives that a line has told of
     bool m_lastWriteSucceeded = true; ///< the last writing of a record succeeded
     Counters::Id m_limitedRunnerCount;
     Counters::Id m_malformedLimitCount;
--- a/fulmarlink/platform.h
+++ b/fulmarlink/platform.h
@@ -59,7 +59,7 @@
     bool whole = false; ///< all records that there are; false: those that have changed
     std::vector<CrashRecord> crashes; ///< those that could not be understood are left out, here and below
     std::vector<LimitRecord> limits;
-    std::vector<TargetLife> limitsEnded; ///< whose record has been removed
+    std::vector<TargetIncarnation> limitsEnded; ///< whose record has been removed
 };
 
 /**
@@ -96,7 +96,7 @@
     virtual boost::asio::awaitable<std::error_code> removeCrashRecord(std::string name) = 0;
     /** Takes the place of the record of the same life, if there is one. */
     virtual boost::asio::awaitable<std::error_code> writeLimitRecord(LimitRecord record) = 0;
-    virtual boost::asio::awaitable<std::error_code> removeLimitRecord(TargetLife life) = 0;
+    virtual boost::asio::awaitable<std::error_code> removeLimitRecord(TargetIncarnation life) = 0;
 
     /** Told of the head of each answer of a runner to the calls below; outlives this, null: nobody. */
     virtual void setRunnerListener(RunnerListener *listener) = 0;
--- a/fulmarlink/requestfingerprint.cpp
+++ b/fulmarlink/requestfingerprint.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-constexpr std::size_t kDigits = 16; ///< of each part
-constexpr int kHex = 16;
+constexpr std::size_t kDigits = 16; ///< hexadecimal digits of each part
+constexpr int kHexBase = 16;
 
 struct StateDeleter {
     void operator()(XXH3_state_t *state) const
@@ -22,7 +22,7 @@
     }
 };
 
-/** The length stands before the text, so that no two lists of texts give the same bytes. */
+/** Hashes the length before the text, so that different lists of texts never give the same input bytes. */
 void update(XXH3_state_t *state, std::string_view text)
 {
     const std::uint64_t size = text.size();
@@ -30,10 +30,10 @@
     XXH3_128bits_update(state, text.data(), text.size());
 }
 
-std::optional<std::uint64_t> part(std::string_view digits)
+std::optional<std::uint64_t> parsePart(std::string_view digits)
 {
     std::uint64_t value = 0;
-    const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value, kHex);
+    const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), value, kHexBase);
     return error == std::errc() && end == digits.data() + digits.size() ? std::optional(value) : std::nullopt;
 }
 
@@ -67,9 +67,9 @@
     if (text.size() != 3 * kDigits || text.find_first_not_of("0123456789abcdef") != std::string_view::npos) {
         return std::nullopt;
     }
-    const auto customer = part(text.substr(0, kDigits));
-    const auto high = part(text.substr(kDigits, kDigits));
-    const auto low = part(text.substr(2 * kDigits));
+    const auto customer = parsePart(text.substr(0, kDigits));
+    const auto high = parsePart(text.substr(kDigits, kDigits));
+    const auto low = parsePart(text.substr(2 * kDigits));
     if (!customer || !high || !low) {
         return std::nullopt;
     }
--- a/fulmarlink/requestfingerprint.h
+++ b/fulmarlink/requestfingerprint.h
@@ -9,35 +9,35 @@
 namespace fulmarlink
 {
 
-/** What makes two attempts the same request, whichever host they come to. Attempt ids and deadlines differ between them. */
+/** The parts that two attempts at the same request have in common, on any host. Attempt ids and deadlines differ, so they are left out. */
 struct RequestIdentity {
     std::string_view customer; ///< empty on routes without API keys
     std::string_view method;
-    std::string_view host; ///< as the caller named it, without a port
-    std::string_view target; ///< path and query
-    std::string_view body; ///< whole
+    std::string_view host; ///< from the Host header, without a port
+    std::string_view target; ///< request target: path and query
+    std::string_view body; ///< complete
 };
 
 /**
- * A key of fixed size for a RequestIdentity, the same on every host and in every version.
+ * A hash of a RequestIdentity, the same on every host and in every version.
  *
- * The customer has a part of its own, which only the operator's configuration decides: a
- * customer who crafts a body to match another request can only match one of its own.
+ * The customer is hashed separately, and only the operator's configuration determines it: a
+ * customer who crafts a body to collide with another request can only hit one of its own.
  */
 struct RequestFingerprint {
     std::uint64_t customer = 0;
     std::uint64_t high = 0;
     std::uint64_t low = 0;
 
-    /** 48 hexadecimal digits. */
+    /** 48 lower-case hexadecimal digits. */
     std::string text() const;
-    /** Reads what text() gave; nothing for any other text. */
+    /** The inverse of text(); nothing for text of any other form. */
     static std::optional<RequestFingerprint> parse(std::string_view text);
 
-    auto operator<=>(const RequestFingerprint &) const = default; // NOLINT(modernize-use-nullptr): as at TargetLife
+    auto operator<=>(const RequestFingerprint &) const = default; // NOLINT(modernize-use-nullptr): as at TargetIncarnation
 };
 
-/** O(bytes of @p identity). */
+/** Linear in the size of @p identity. */
 RequestFingerprint fingerprintOf(const RequestIdentity &identity);
 
 } // namespace fulmarlink
--- a/fulmarlink/runnerattempts.cpp
+++ b/fulmarlink/runnerattempts.cpp
@@ -5,7 +5,7 @@
 namespace fulmarlink
 {
 
-RunnerAttempts::Token RunnerAttempts::sent(const TargetLife &life, CrashSuspect suspect)
+RunnerAttempts::Token RunnerAttempts::sent(const TargetIncarnation &life, CrashSuspect suspect)
 {
     m_attempts.emplace(++m_last, Attempt{life, std::move(suspect)});
     return m_last;
@@ -15,7 +15,7 @@
 {
     const auto it = m_attempts.find(token);
     if (it != m_attempts.end()) {
-        it->second.suspect.answering = true;
+        it->second.suspect.answerStarted = true;
     }
 }
 
@@ -41,14 +41,14 @@
     });
 }
 
-bool RunnerAttempts::anyInProgress(const TargetLife &life) const
+bool RunnerAttempts::anyInProgress(const TargetIncarnation &life) const
 {
     return std::ranges::any_of(m_attempts, [&life](const auto &entry) {
         return entry.second.inProgress && entry.second.life == life;
     });
 }
 
-std::vector<CrashSuspect> RunnerAttempts::takeSuspects(const TargetLife &life, TimePoint now)
+std::vector<CrashSuspect> RunnerAttempts::takeSuspects(const TargetIncarnation &life, TimePoint now)
 {
     forgetOld(now);
     std::vector<CrashSuspect> result;
@@ -65,10 +65,10 @@
     return result;
 }
 
-std::vector<TargetLife> RunnerAttempts::livesOf(const std::string &id, TimePoint now)
+std::vector<TargetIncarnation> RunnerAttempts::livesOf(const std::string &id, TimePoint now)
 {
     forgetOld(now);
-    std::vector<TargetLife> result;
+    std::vector<TargetIncarnation> result;
     for (const auto &[token, attempt] : m_attempts) {
         const bool known = std::ranges::find(result, attempt.life) != result.end();
         if (attempt.life.id == id && !attempt.taken && !known) {
--- a/fulmarlink/runnerattempts.h
+++ b/fulmarlink/runnerattempts.h
@@ -29,20 +29,20 @@
         BrokenOff, ///< without a word of the runner
     };
 
-    Token sent(const TargetLife &life, CrashSuspect suspect);
+    Token sent(const TargetIncarnation &life, CrashSuspect suspect);
     /** The first event of its answer has come. */
     void answering(Token token);
     void ended(Token token, End end, TimePoint now);
 
-    bool anyInProgress(const TargetLife &life) const;
+    bool anyInProgress(const TargetIncarnation &life) const;
     /** Those in progress at @p life and those that broke off there lately; they are given once. */
-    std::vector<CrashSuspect> takeSuspects(const TargetLife &life, TimePoint now);
+    std::vector<CrashSuspect> takeSuspects(const TargetIncarnation &life, TimePoint now);
     /** Lives of the runner @p id at which attempts are in progress or broke off lately. */
-    std::vector<TargetLife> livesOf(const std::string &id, TimePoint now);
+    std::vector<TargetIncarnation> livesOf(const std::string &id, TimePoint now);
 
 private:
     struct Attempt {
-        TargetLife life;
+        TargetIncarnation life;
         CrashSuspect suspect;
         bool inProgress = true;
         bool taken = false; ///< counted at the end of its runner
--- a/fulmarlink/runnerlimits.cpp
+++ b/fulmarlink/runnerlimits.cpp
@@ -22,7 +22,7 @@
     return "none";
 }
 
-LimitChange RunnerLimits::applyAnswer(const TargetLife &life, const LimitObservation &observation)
+LimitChange RunnerLimits::applyAnswer(const TargetIncarnation &life, const LimitObservation &observation)
 {
     const auto it = m_limits.find(life);
     if (it == m_limits.end()) {
@@ -38,7 +38,7 @@
     return applyRecord(life, *observation.perSecond, observation.attempt, observation.now);
 }
 
-LimitChange RunnerLimits::applyRecord(const TargetLife &life, double perSecond, const std::string &host, TimePoint now)
+LimitChange RunnerLimits::applyRecord(const TargetIncarnation &life, double perSecond, const std::string &host, TimePoint now)
 {
     const auto it = m_limits.find(life);
     if (it == m_limits.end()) {
@@ -58,20 +58,20 @@
     return LimitChange::Changed;
 }
 
-LimitChange RunnerLimits::remove(const TargetLife &life)
+LimitChange RunnerLimits::remove(const TargetIncarnation &life)
 {
     return m_limits.erase(life) > 0 ? LimitChange::Ended : LimitChange::None;
 }
 
-const RunnerLimit *RunnerLimits::find(const TargetLife &life) const
+const RunnerLimit *RunnerLimits::find(const TargetIncarnation &life) const
 {
     const auto it = m_limits.find(life);
     return it == m_limits.end() ? nullptr : &it->second;
 }
 
-std::vector<TargetLife> RunnerLimits::lives() const
+std::vector<TargetIncarnation> RunnerLimits::lives() const
 {
-    std::vector<TargetLife> result;
+    std::vector<TargetIncarnation> result;
     for (const auto &[life, limit] : m_limits) {
         result.push_back(life);
     }
--- a/fulmarlink/runnerlimits.h
+++ b/fulmarlink/runnerlimits.h
@@ -51,19 +51,19 @@
 public:
     static constexpr std::size_t kMaxLimits = 4096; ///< lives; a fleet has some hundred runners
 
-    LimitChange applyAnswer(const TargetLife &life, const LimitObservation &observation);
+    LimitChange applyAnswer(const TargetIncarnation &life, const LimitObservation &observation);
     /** Another host's record. */
-    LimitChange applyRecord(const TargetLife &life, double perSecond, const std::string &host, TimePoint now);
+    LimitChange applyRecord(const TargetIncarnation &life, double perSecond, const std::string &host, TimePoint now);
     /** Another host has seen that the runner names none any more, or the runner is gone. */
-    LimitChange remove(const TargetLife &life);
+    LimitChange remove(const TargetIncarnation &life);
 
     /** Null if none is known. */
-    const RunnerLimit *find(const TargetLife &life) const;
-    std::vector<TargetLife> lives() const;
+    const RunnerLimit *find(const TargetIncarnation &life) const;
+    std::vector<TargetIncarnation> lives() const;
     std::size_t size() const;
 
 private:
-    std::map<TargetLife, RunnerLimit> m_limits;
+    std::map<TargetIncarnation, RunnerLimit> m_limits;
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/runnersignals.cpp
+++ b/fulmarlink/runnersignals.cpp
@@ -25,7 +25,7 @@
 }
 
 /** Null if there are too many. */
-RunnerSignals::Signal *RunnerSignals::add(const TargetLife &life)
+RunnerSignals::Signal *RunnerSignals::add(const TargetIncarnation &life)
 {
     if (m_signals.size() >= kMaxLives && !m_signals.contains(life)) {
         return nullptr;
@@ -33,7 +33,7 @@
     return &m_signals[life];
 }
 
-bool RunnerSignals::backOff(const TargetLife &life, Duration asked, Duration spread, const std::string &attempt, TimePoint now)
+bool RunnerSignals::backOff(const TargetIncarnation &life, Duration asked, Duration spread, const std::string &attempt, TimePoint now)
 {
     Signal *signal = add(life);
     if (signal == nullptr) {
@@ -53,7 +53,7 @@
     return extended;
 }
 
-void RunnerSignals::accepted(const TargetLife &life, TimePoint sent, unsigned slots)
+void RunnerSignals::accepted(const TargetIncarnation &life, TimePoint sent, unsigned slots)
 {
     const auto it = m_signals.find(life);
     if (it != m_signals.end()) {
@@ -61,7 +61,7 @@
     }
 }
 
-bool RunnerSignals::leaving(const TargetLife &life)
+bool RunnerSignals::leaving(const TargetIncarnation &life)
 {
     Signal *signal = add(life);
     const bool news = signal != nullptr && !signal->leaving;
@@ -71,12 +71,12 @@
     return news;
 }
 
-void RunnerSignals::forget(const TargetLife &life)
+void RunnerSignals::forget(const TargetIncarnation &life)
 {
     m_signals.erase(life);
 }
 
-RunnerObstacle RunnerSignals::obstacle(const TargetLife &life, unsigned open, TimePoint now) const
+RunnerObstacle RunnerSignals::obstacle(const TargetIncarnation &life, unsigned open, TimePoint now) const
 {
     const auto it = m_signals.find(life);
     if (it != m_signals.end()) {
@@ -90,7 +90,7 @@
     return !pacer.hasLimits() || pacer.canSend(life, now) ? RunnerObstacle::None : RunnerObstacle::Limited;
 }
 
-RunnerObstacle RunnerSignals::take(const TargetLife &life, unsigned open, TimePoint now)
+RunnerObstacle RunnerSignals::take(const TargetIncarnation &life, unsigned open, TimePoint now)
 {
     const RunnerObstacle found = obstacle(life, open, now);
     if (found != RunnerObstacle::None) {
@@ -99,7 +99,7 @@
     return pacer.tryAcquire(life, now) ? RunnerObstacle::None : RunnerObstacle::Limited;
 }
 
-std::optional<TimePoint> RunnerSignals::nextRoom(const TargetLife &life, TimePoint now) const
+std::optional<TimePoint> RunnerSignals::nextRoom(const TargetIncarnation &life, TimePoint now) const
 {
     const auto it = m_signals.find(life);
     if (it != m_signals.end() && it->second.leaving) {
@@ -112,19 +112,19 @@
     return std::max(*limited, it->second.backoff.until());
 }
 
-bool RunnerSignals::isLeaving(const TargetLife &life) const
+bool RunnerSignals::isLeaving(const TargetIncarnation &life) const
 {
     const auto it = m_signals.find(life);
     return it != m_signals.end() && it->second.leaving;
 }
 
-bool RunnerSignals::inSlowStart(const TargetLife &life, TimePoint now) const
+bool RunnerSignals::inSlowStart(const TargetIncarnation &life, TimePoint now) const
 {
     const auto it = m_signals.find(life);
     return it != m_signals.end() && it->second.backoff.active() && !it->second.backoff.backsOff(now);
 }
 
-const BackoffRequest *RunnerSignals::backoff(const TargetLife &life) const
+const BackoffRequest *RunnerSignals::backoff(const TargetIncarnation &life) const
 {
     const auto it = m_signals.find(life);
     return it == m_signals.end() || !it->second.requested ? nullptr : &it->second.request;
@@ -137,9 +137,9 @@
     }));
 }
 
-std::map<TargetLife, BackoffRequest> RunnerSignals::takeEnded(TimePoint now)
+std::map<TargetIncarnation, BackoffRequest> RunnerSignals::takeEnded(TimePoint now)
 {
-    std::map<TargetLife, BackoffRequest> result;
+    std::map<TargetIncarnation, BackoffRequest> result;
     for (auto it = m_signals.begin(); it != m_signals.end();) {
         Signal &signal = it->second;
         if (signal.requested && !signal.backoff.backsOff(now)) {
@@ -152,9 +152,9 @@
     return result;
 }
 
-std::vector<TargetLife> RunnerSignals::lives() const
+std::vector<TargetIncarnation> RunnerSignals::lives() const
 {
-    std::vector<TargetLife> result;
+    std::vector<TargetIncarnation> result;
     for (const auto &[life, signal] : m_signals) {
         result.push_back(life);
     }
--- a/fulmarlink/runnersignals.h
+++ b/fulmarlink/runnersignals.h
@@ -48,29 +48,29 @@
     static constexpr std::size_t kMaxLives = 4096; ///< a fleet has some hundred runners
 
     /** @p spread: how much later than @p asked this host begins again. False if it backs off for that long already. */
-    bool backOff(const TargetLife &life, Duration asked, Duration spread, const std::string &attempt, TimePoint now);
+    bool backOff(const TargetIncarnation &life, Duration asked, Duration spread, const std::string &attempt, TimePoint now);
     /** The runner has begun to answer a request that was sent at @p sent. */
-    void accepted(const TargetLife &life, TimePoint sent, unsigned slots);
+    void accepted(const TargetIncarnation &life, TimePoint sent, unsigned slots);
     /** False if that was known. */
-    bool leaving(const TargetLife &life);
-    void forget(const TargetLife &life);
+    bool leaving(const TargetIncarnation &life);
+    void forget(const TargetIncarnation &life);
 
     /** @p open: this host's requests there. */
-    RunnerObstacle obstacle(const TargetLife &life, unsigned open, TimePoint now) const;
+    RunnerObstacle obstacle(const TargetIncarnation &life, unsigned open, TimePoint now) const;
     /** The same for a request that goes out now, and uses up the room that it takes. */
-    RunnerObstacle take(const TargetLife &life, unsigned open, TimePoint now);
+    RunnerObstacle take(const TargetIncarnation &life, unsigned open, TimePoint now);
     /** When a request may go there again; nothing if that can't be told. */
-    std::optional<TimePoint> nextRoom(const TargetLife &life, TimePoint now) const;
+    std::optional<TimePoint> nextRoom(const TargetIncarnation &life, TimePoint now) const;
 
-    bool isLeaving(const TargetLife &life) const;
+    bool isLeaving(const TargetIncarnation &life) const;
     /** Its backoff is over, and it has not taken enough requests since then to be trusted with second sends. */
-    bool inSlowStart(const TargetLife &life, TimePoint now) const;
+    bool inSlowStart(const TargetIncarnation &life, TimePoint now) const;
     /** Null if the runner has not asked for it, or it is over. */
-    const BackoffRequest *backoff(const TargetLife &life) const;
+    const BackoffRequest *backoff(const TargetIncarnation &life) const;
     std::size_t backingOff(TimePoint now) const;
     /** Ends what has passed; the lives whose time was over at @p now for the first time. */
-    std::map<TargetLife, BackoffRequest> takeEnded(TimePoint now);
-    std::vector<TargetLife> lives() const;
+    std::map<TargetIncarnation, BackoffRequest> takeEnded(TimePoint now);
+    std::vector<TargetIncarnation> lives() const;
 
     RunnerLimits limits; ///< requests a second that runners have named
     LimitPacer pacer; ///< this host's part of them
@@ -83,9 +83,9 @@
         bool leaving = false;
     };
 
-    Signal *add(const TargetLife &life);
+    Signal *add(const TargetIncarnation &life);
 
-    std::map<TargetLife, Signal> m_signals;
+    std::map<TargetIncarnation, Signal> m_signals;
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/signalwatch.cpp
+++ b/fulmarlink/signalwatch.cpp
@@ -55,7 +55,7 @@
 
 void SignalWatch::noteBackoff(const TargetInfo &target, Duration asked, const std::string &source)
 {
-    const TargetLife life{target.id, target.born};
+    const TargetIncarnation life{target.id, target.born};
     const TimePoint now = m_state.clock.now();
     const bool news = m_state.signals.backoff(life) == nullptr;
     const Duration spread = this->spread(target);
@@ -80,7 +80,7 @@
 
 void SignalWatch::noteLeaving(const TargetInfo &target, const std::string &source)
 {
-    const TargetLife life{target.id, target.born};
+    const TargetIncarnation life{target.id, target.born};
     m_state.counters.add(m_leaving);
     if (!m_state.signals.leaving(life)) {
         return;
@@ -112,8 +112,8 @@
 
 void SignalWatch::dropGone()
 {
-    std::set<TargetLife> unlisted;
-    for (const TargetLife &life : m_state.signals.lives()) {
+    std::set<TargetIncarnation> unlisted;
+    for (const TargetIncarnation &life : m_state.signals.lives()) {
         const TargetInfo *target = m_state.targets.find(life.id);
         if (target != nullptr && target->born == life.born) {
             continue;
@@ -127,7 +127,7 @@
     m_unlisted = std::move(unlisted);
 }
 
-void SignalWatch::noteMalformed(const TargetLife &life, const std::string &text)
+void SignalWatch::noteMalformed(const TargetIncarnation &life, const std::string &text)
 {
     m_state.counters.add(m_malformedBackoffs);
     if (m_malformed.size() < kMaxMalformed && m_malformed.insert(life).second) {
--- a/fulmarlink/signalwatch.h
+++ b/fulmarlink/signalwatch.h
@@ -30,12 +30,12 @@
 private:
     void noteBackoff(const TargetInfo &target, Duration asked, const std::string &source);
     void noteLeaving(const TargetInfo &target, const std::string &source);
-    void noteMalformed(const TargetLife &life, const std::string &text);
+    void noteMalformed(const TargetIncarnation &life, const std::string &text);
     Duration spread(const TargetInfo &target);
 
     GatewayState &m_state;
-    std::set<TargetLife> m_unlisted; ///< lives that the list of runners did not have when dropGone() last looked
-    std::set<TargetLife> m_malformed; ///< lives that a line has told of
+    std::set<TargetIncarnation> m_unlisted; ///< lives that the list of runners did not have when dropGone() last looked
+    std::set<TargetIncarnation> m_malformed; ///< lives that a line has told of
     Counters::Id m_backingOff;
     Counters::Id m_backoffs;
     Counters::Id m_malformedBackoffs;
--- a/fulmarlink/targettable.cpp
+++ b/fulmarlink/targettable.cpp
@@ -99,7 +99,7 @@
             ++result.free;
             continue;
         }
-        const TargetLife life{id, state.info.born};
+        const TargetIncarnation life{id, state.info.born};
         const auto next = m_signals->nextRoom(life, now);
         const bool limited = found == RunnerObstacle::Limited;
         result.limited += limited ? 1 : 0;
--- a/testing/faultisolation_test.cpp
+++ b/testing/faultisolation_test.cpp
@@ -130,7 +130,7 @@
         return m_sound->writeLimitRecord(std::move(record));
     }
 
-    asio::awaitable<std::error_code> removeLimitRecord(TargetLife life) override
+    asio::awaitable<std::error_code> removeLimitRecord(TargetIncarnation life) override
     {
         return m_sound->removeLimitRecord(std::move(life));
     }
--- a/testing/gatewaymutation_test.cpp
+++ b/testing/gatewaymutation_test.cpp
@@ -229,7 +229,7 @@
     for (unsigned i = 0; i < crashes; ++i) {
         CrashRecord record;
         record.name = std::to_string(i);
-        record.lives.push_back({"i-1", i});
+        record.incarnations.push_back({"i-1", i});
         record.suspects.push_back({RequestFingerprint{1, 2, 3}, "c", "r", false});
         history.add(record, at(0));
     }
@@ -238,7 +238,7 @@
 
 bool aThirdEndBans()
 {
-    return afterCrashes(3).standing({1, 2, 3}, at(3'600'000)).verdict == CrashVerdict::Banned;
+    return afterCrashes(3).status({1, 2, 3}, at(3'600'000)).verdict == CrashVerdict::Banned;
 }
 
 bool anEndCountsOnce()
@@ -246,17 +246,17 @@
     CrashHistory history = afterCrashes(1);
     CrashRecord again;
     again.name = "another host's";
-    again.lives.push_back({"i-1", 0});
+    again.incarnations.push_back({"i-1", 0});
     again.suspects.push_back({RequestFingerprint{1, 2, 3}, "c", "r", false});
     history.add(again, at(0));
-    return history.standing({1, 2, 3}, at(0)).crashes == 1;
+    return history.status({1, 2, 3}, at(0)).crashes == 1;
 }
 
 bool whatEndsWellIsCleared()
 {
     CrashHistory history = afterCrashes(2);
-    history.endedWell({1, 2, 3}, at(1));
-    return history.standing({1, 2, 3}, at(1)).verdict == CrashVerdict::Clear;
+    history.requestCompleted({1, 2, 3}, at(1));
+    return history.status({1, 2, 3}, at(1)).verdict == CrashVerdict::Clear;
 }
 
 bool noResendAfterARunnersEnd()
--- a/testing/gatewaysettings_test.cpp
+++ b/testing/gatewaysettings_test.cpp
@@ -45,8 +45,8 @@
     EXPECT_EQ(settings.store.address, "10.0.0.1");
     EXPECT_EQ(settings.revokeBound.count(), 5000);
     EXPECT_EQ(settings.metrics.port, 0);
-    EXPECT_EQ(settings.crashes.holdFor, Duration(std::chrono::minutes(5)));
-    EXPECT_EQ(parse(kGood + "crashes:\n  hold_ms: 700\n  keep_held_ms: 172800000\n", errors).crashes.holdFor, Duration(std::chrono::milliseconds(700)));
+    EXPECT_EQ(settings.crashes.holdTime, Duration(std::chrono::minutes(5)));
+    EXPECT_EQ(parse(kGood + "crashes:\n  hold_ms: 700\n  keep_held_ms: 172800000\n", errors).crashes.holdTime, Duration(std::chrono::milliseconds(700)));
     EXPECT_TRUE(errors.empty());
 }
 
--- a/testing/harness/fakegroup.cpp
+++ b/testing/harness/fakegroup.cpp
@@ -172,7 +172,7 @@
     co_return std::error_code();
 }
 
-asio::awaitable<std::error_code> FakeGroup::removeLimitRecord(TargetLife /*life*/)
+asio::awaitable<std::error_code> FakeGroup::removeLimitRecord(TargetIncarnation /*life*/)
 {
     co_return std::error_code();
 }
--- a/testing/harness/gatewayfleet.cpp
+++ b/testing/harness/gatewayfleet.cpp
@@ -92,7 +92,7 @@
         settings.store = storeProxies.back()->listen();
         settings.leavingBound = 500ms;
         settings.retrySlack = 10'000;
-        settings.crashes.holdFor = options.hold;
+        settings.crashes.holdTime = options.hold;
     }
 }
 
--- a/testing/limitpacer_test.cpp
+++ b/testing/limitpacer_test.cpp
@@ -19,7 +19,7 @@
 
 using namespace std::chrono_literals;
 
-const TargetLife kRunner{"i-1", 100};
+const TargetIncarnation kRunner{"i-1", 100};
 const TimePoint kStart{1000s};
 constexpr Duration kSpan = 4s; ///< in which the platform counts
 constexpr Duration kStep = 5ms;
--- a/testing/runnerattempts_test.cpp
+++ b/testing/runnerattempts_test.cpp
@@ -11,9 +11,9 @@
 using namespace std::chrono_literals;
 using End = RunnerAttempts::End;
 
-const TargetLife kLife{"i-1", 7};
-const TargetLife kNext{"i-1", 8};
-const TargetLife kOther{"i-2", 7};
+const TargetIncarnation kLife{"i-1", 7};
+const TargetIncarnation kNext{"i-1", 8};
+const TargetIncarnation kOther{"i-2", 7};
 
 TimePoint at(std::chrono::milliseconds time)
 {
@@ -66,7 +66,7 @@
 {
     RunnerAttempts attempts;
     attempts.ended(attempts.sent(kLife, suspect(1)), End::BrokenOff, at(0ms));
-    EXPECT_EQ(attempts.livesOf("i-1", at(5s)), std::vector<TargetLife>{kLife});
+    EXPECT_EQ(attempts.livesOf("i-1", at(5s)), std::vector<TargetIncarnation>{kLife});
     EXPECT_TRUE(attempts.takeSuspects(kLife, at(5001ms)).empty());
 }
 
@@ -77,8 +77,8 @@
     attempts.sent(kLife, suspect(2));
     const auto suspects = attempts.takeSuspects(kLife, at(0ms));
     ASSERT_EQ(suspects.size(), 2U);
-    EXPECT_TRUE(suspects[0].answering);
-    EXPECT_FALSE(suspects[1].answering);
+    EXPECT_TRUE(suspects[0].answerStarted);
+    EXPECT_FALSE(suspects[1].answerStarted);
 }
 
 } // namespace fulmarlink::testing
--- a/testing/runnerlimits_test.cpp
+++ b/testing/runnerlimits_test.cpp
@@ -12,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-const TargetLife kRunner{"i-1", 100};
+const TargetIncarnation kRunner{"i-1", 100};
 const TimePoint kStart{1000s};
 
 LimitObservation observation(std::optional<double> perSecond, Duration sent, Duration now)
--- a/testing/runnersignals_test.cpp
+++ b/testing/runnersignals_test.cpp
@@ -17,7 +17,7 @@
 
 using namespace std::chrono_literals;
 
-const TargetLife kRunner{"i-1", 1};
+const TargetIncarnation kRunner{"i-1", 1};
 constexpr TimePoint kStart{1000s};
 constexpr unsigned kSlots = 8;
 
