--- a/fulmarlink/crashhistory.cpp
+++ b/fulmarlink/crashhistory.cpp
@@ -58,7 +58,7 @@
     if (m_records.contains(record.name)) {
         return false;
     }
-    evictOldest();
+    evictRecords();
     const std::string name = record.name;
     const auto &stored = m_records.emplace(name, Stored{std::move(record), now}).first->second;
     index(stored.record, now);
@@ -198,8 +198,8 @@
     });
 }
 
-/** Evicts several records at a time, because the index must be rebuilt afterwards. */
-void CrashHistory::evictOldest()
+/** When the history is full, evicts several records at once, because the index must be rebuilt afterwards. */
+void CrashHistory::evictRecords()
 {
     if (m_records.size() < m_policy.maxRecords) {
         return;
--- a/fulmarlink/crashhistory.h
+++ b/fulmarlink/crashhistory.h
@@ -106,7 +106,7 @@
     static void clear(Request &request);
     void queueClearance(const RequestFingerprint &fingerprint, Request &request);
     void rebuildIndex();
-    void evictOldest();
+    void evictRecords();
     bool holdsBack(const CrashRecord &record) const;
     static unsigned unclearedCrashes(const Request &request);
 
--- a/testing/crashingrequest_test.cpp
+++ b/testing/crashingrequest_test.cpp
@@ -1,15 +1,12 @@
 // A request that crashes each runner that begins it, repeated by its caller at one host after
 // the other.
 //
-// Seen: three runners of a rank group ended within 35 ms, and one more each time the group took
-// work again, each time with one customer's request in progress that had begun a moment before;
-// seven runners ended under one request, and every stream of the pool with them. How it came
-// about: an attempt whose runner ended was sent on to the next runner, and each repeat of its
-// caller reached a host that knew nothing of the earlier ones. Cause: what a host learns from a
-// runner's end stayed in the attempt; nothing tied attempts of one request together, neither on
-// one host nor over all. Proved by these tests: with runners that end under one request only,
-// whatever else happens, the same request goes on to end them one by one. What counts is what the
-// runners saw.
+// Guards against one request crashing one runner after the other: three runners of a rank group
+// crashed within 35 ms, and another each time the group accepted work again, always just after one
+// customer's request had begun; one request crashed seven runners, and every stream of the pool was
+// lost with them. The attempt was retried on the next runner, and each repeat by the caller reached
+// a host that knew nothing of the earlier crashes, because nothing tied attempts at one request
+// together, on one host or across hosts. The tests count the requests that reached the runners.
 
 #include <boost/json/parse.hpp>
 #include <gtest/gtest.h>
@@ -24,8 +21,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kKnownEverywhere = 1000ms; ///< from the third runner's end; a third of the time in which the platform wants it known
-constexpr std::size_t kMostCrashes = 3; ///< what one request may end, copies that were in progress at once apart
+constexpr auto kPropagationTime = 1000ms; ///< from the third crash until all hosts know it; a third of what the platform allows
+constexpr std::size_t kMostCrashes = 3; ///< runners that one request may crash, not counting copies that were in progress at the same time
 
 struct Case {
     const char *name;
@@ -69,7 +66,7 @@
 
 } // namespace
 
-TEST_P(CrashingRequest, RepeatsOneAfterTheOtherReachNoFourthRunner)
+TEST_P(CrashingRequest, SequentialRepeatsReachAtMostThreeRunners)
 {
     GatewayFleet fleet(options());
     ASSERT_TRUE(fleet.start());
@@ -78,15 +75,15 @@
         ASSERT_TRUE(fleet.runUntilUp(4));
         const HttpRequest request = fleet.request(path);
         const Answer answer = fleet.ask(repeat % GetParam().gateways, request);
-        const bool saidNotRun = answer.status == 503 || answer.status == 429;
-        EXPECT_FALSE(saidNotRun && fleet.ran(std::string(request["Attempt-Id"])));
+        const bool reportedNotRun = answer.status == 503 || answer.status == 429;
+        EXPECT_FALSE(reportedNotRun && fleet.ran(std::string(request["Attempt-Id"])));
         fleet.run(200ms);
     }
     EXPECT_LE(fleet.crashes(path), kMostCrashes);
     EXPECT_LE(fleet.arrivals(path), kMostCrashes);
 }
 
-TEST_P(CrashingRequest, RepeatsAtAllHostsAtOnceReachNoRunnerOnceThreeHaveEnded)
+TEST_P(CrashingRequest, ConcurrentRepeatsReachNoRunnerAfterThreeCrashes)
 {
     GatewayFleet fleet(options());
     ASSERT_TRUE(fleet.start());
@@ -100,13 +97,13 @@
     }
     ASSERT_GE(fleet.crashes(path), 1U);
     if (fleet.crashes(path) >= kMostCrashes) {
-        EXPECT_EQ(fleet.arrivals(path, fleet.crashedAt(path, kMostCrashes) + kKnownEverywhere), 0U);
+        EXPECT_EQ(fleet.arrivals(path, fleet.crashedAt(path, kMostCrashes) + kPropagationTime), 0U);
     }
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleet, CrashingRequest, kCases, caseName);
 
-TEST(CrashingRequestStore, AStoreThatAnswersHeldOpenCallsAtOnceIsNotAskedAtOnceAgain)
+TEST(CrashingRequestStore, StoreThatAnswersLongPollsAtOnceIsNotPolledInATightLoop)
 {
     GatewayFleet fleet({.gateways = 1, .runners = 1});
     fleet.store.faults.hasty = true;
@@ -122,8 +119,8 @@
 
 constexpr const char *kStream = "/stream/crash";
 
-/** Repeats one after the other, each at another gateway, until @p repeats have been made. */
-void repeat(GatewayFleet &fleet, unsigned repeats, unsigned gateways, const std::string &path = kStream)
+/** Sends the request @p repeats times, one after the other, to the @p gateways first gateways in turn. */
+void sendRepeats(GatewayFleet &fleet, unsigned repeats, unsigned gateways, const std::string &path = kStream)
 {
     for (unsigned i = 0; i < repeats; ++i) {
         ASSERT_TRUE(fleet.runUntilUp(4));
@@ -132,7 +129,7 @@
     }
 }
 
-std::string cleared(const GatewayFleet &fleet)
+std::string clearedRecordNames(const GatewayFleet &fleet)
 {
     std::string result;
     for (const std::string &name : fleet.store.names("fulmarlink-crashes")) {
@@ -143,11 +140,11 @@
 
 } // namespace
 
-TEST(CrashingRequestAnswers, ARepeatIsRefusedAtOnceTrulyAndWithoutAnInvitation)
+TEST(CrashingRequestAnswers, BannedRepeatIsRefusedAtOnceAsNotRunWithALongRetryAfter)
 {
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
-    repeat(fleet, 3, 5);
+    sendRepeats(fleet, 3, 5);
     const auto began = std::chrono::steady_clock::now();
     const HttpRequest request = fleet.request(kStream);
     const Answer answer = fleet.ask(4, request);
@@ -160,7 +157,7 @@
     EXPECT_EQ(fleet.count("fulmarlink_requests_held_back"), 5U) << "one on each host";
 }
 
-TEST(CrashingRequestAnswers, TheAttemptWhoseRunnerEndedIsToldSoAndNotSentOn)
+TEST(CrashingRequestAnswers, AttemptOnACrashedRunnerReportsItAndIsNotRetried)
 {
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
@@ -170,24 +167,24 @@
     EXPECT_EQ(fleet.arrivals("/again/crash"), 1U);
 }
 
-TEST(CrashingRequestKey, OtherPathsBodiesAndCustomersAreNotHeldBack)
+TEST(CrashingRequestKey, RequestsOfOtherPathsBodiesOrCustomersAreNotHeldBack)
 {
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
-    repeat(fleet, 4, 5);
+    sendRepeats(fleet, 4, 5);
     ASSERT_LE(fleet.crashes(kStream), kMostCrashes);
     ASSERT_TRUE(fleet.runUntilUp(6));
     const std::size_t before = fleet.arrivals(kStream);
     fleet.ask(0, fleet.request(kStream, "another body"));
-    EXPECT_EQ(fleet.arrivals(kStream), before + 1) << "it has another body";
+    EXPECT_EQ(fleet.arrivals(kStream), before + 1) << "a different body is a different request";
     ASSERT_TRUE(fleet.runUntilUp(4));
     fleet.ask(1, fleet.request(kStream, "text", "other-key"));
-    EXPECT_EQ(fleet.arrivals(kStream), before + 2) << "it is another customer's";
+    EXPECT_EQ(fleet.arrivals(kStream), before + 2) << "another customer's request is a different request";
     EXPECT_EQ(fleet.ask(2, fleet.request("/stream/fine")).status, 200U);
     EXPECT_EQ(fleet.ask(3, fleet.request("/again/fine")).status, 200U);
 }
 
-TEST(CrashingRequestLoad, TwoOfThemAtTheSameTimeAreBothHeldBack)
+TEST(CrashingRequestLoad, TwoConcurrentCrashingRequestsAreBothHeldBack)
 {
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
@@ -201,8 +198,8 @@
     EXPECT_LE(fleet.arrivals("/again/crash-2"), kMostCrashes);
 }
 
-// The load: callers ask for their status in the same words all the time, and runners end for causes of their own.
-TEST(CrashingRequestLoad, AWaveOfEndsWithAnotherCauseHoldsNobodyBack)
+// Callers keep sending the same status request while runners crash for other reasons.
+TEST(CrashingRequestLoad, UnrelatedCrashesHoldNoRequestBack)
 {
     GatewayFleet fleet({.runners = 8, .work = 10ms});
     ASSERT_TRUE(fleet.start());
@@ -217,7 +214,7 @@
         fleet.crashRunner(round % 8);
         fleet.crashRunner((round + 3) % 8);
         fleet.run(250ms);
-        EXPECT_EQ(fleet.count("fulmarlink_requests_held_back"), 0U) << cleared(fleet);
+        EXPECT_EQ(fleet.count("fulmarlink_requests_held_back"), 0U) << clearedRecordNames(fleet);
     }
     EXPECT_GT(fleet.count("fulmarlink_runners_ended_total"), 10U);
     ASSERT_TRUE(fleet.runUntilUp(8));
@@ -226,8 +223,8 @@
     }
 }
 
-// The load: the last packets of a runner that ended are lost, so that other attempts there seem to go on.
-TEST(CrashingRequestLoad, AnEndOfWhichOtherAttemptsDoNotHearIsNoticed)
+// The last packets of a crashed runner are lost, so other attempts on it still look in progress.
+TEST(CrashingRequestLoad, CrashIsDetectedWhenOtherConnectionsSeeNoReset)
 {
     GatewayFleet fleet({.runners = 8, .sameId = false, .back = 1500ms, .lossy = true, .work = 60ms});
     ASSERT_TRUE(fleet.start());
@@ -243,7 +240,7 @@
     EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
 }
 
-TEST(CrashingRequestLoad, AResetConnectionIsNoRunnersEnd)
+TEST(CrashingRequestLoad, ResetConnectionDoesNotCountAsCrash)
 {
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
@@ -251,10 +248,10 @@
         EXPECT_EQ(fleet.ask(i % 5, fleet.request("/again/reset")).status, 200U);
     }
     EXPECT_EQ(fleet.count("fulmarlink_runners_ended_total"), 0U);
-    EXPECT_EQ(fleet.store.names("fulmarlink-crashes").size(), 0U) << "nothing is written while runners live";
+    EXPECT_EQ(fleet.store.names("fulmarlink-crashes").size(), 0U) << "nothing is written unless a runner ends";
 }
 
-TEST(CrashingRequestHosts, AHostThatStartsReadsWhatStandsBeforeItServes)
+TEST(CrashingRequestHosts, StartingHostReadsTheRecordsBeforeItServes)
 {
     GatewayFleet fleet({.gateways = 3});
     ASSERT_TRUE(fleet.start());
@@ -270,28 +267,28 @@
     EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
 }
 
-TEST(CrashingRequestHosts, OneHostAloneTriesItAfterTheHoldAndItsCallerTimesDecideNothing)
+TEST(CrashingRequestHosts, OneHostRunsOneTrialAfterTheHoldTimeWhateverTheArrivals)
 {
     GatewayFleet fleet({.runners = 8, .hold = 1000ms});
     ASSERT_TRUE(fleet.start());
-    repeat(fleet, 2, 2);
+    sendRepeats(fleet, 2, 2);
     ASSERT_EQ(fleet.crashes(kStream), 2U);
     ASSERT_TRUE(fleet.runUntilUp(8));
     fleet.run(1000ms);
-    for (unsigned i = 0; i < 20; ++i) { // all hosts at once, again and again
+    for (unsigned i = 0; i < 20; ++i) { // at all hosts at once, repeatedly
         for (unsigned gateway = 0; gateway < 5; ++gateway) {
             fleet.send(gateway, fleet.request(kStream));
         }
         fleet.run(150ms);
     }
-    EXPECT_EQ(fleet.arrivals(kStream), kMostCrashes) << "two, and one try";
+    EXPECT_EQ(fleet.arrivals(kStream), kMostCrashes) << "two crashes and one trial";
 }
 
-TEST(CrashingRequestHosts, AnOperatorsReleaseLetsItRunAgainOnAllHosts)
+TEST(CrashingRequestHosts, OperatorReleaseTakesEffectOnAllHosts)
 {
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
-    repeat(fleet, 4, 5);
+    sendRepeats(fleet, 4, 5);
     ASSERT_EQ(fleet.ask(0, fleet.request(kStream)).status, 503U);
     boost::json::array lives;
     std::string fingerprint;
@@ -315,11 +312,11 @@
     EXPECT_EQ(fleet.count("fulmarlink_requests_held_back"), 0U);
 }
 
-TEST(CrashingRequestHosts, AllHostsAreLostAtOnceAndStillKnow)
+TEST(CrashingRequestHosts, RecordsSurviveARestartOfAllHosts)
 {
     GatewayFleet fleet({.gateways = 3});
     ASSERT_TRUE(fleet.start());
-    repeat(fleet, 2, 3);
+    sendRepeats(fleet, 2, 3);
     for (unsigned gateway = 0; gateway < 3; ++gateway) {
         fleet.killGateway(gateway);
     }
@@ -327,7 +324,7 @@
         fleet.startGateway(gateway);
     }
     fleet.run(500ms);
-    repeat(fleet, 6, 3);
+    sendRepeats(fleet, 6, 3);
     EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
 }
 
@@ -336,7 +333,7 @@
 
 struct StoreCase {
     const char *name;
-    void (*harm)(GatewayFleet &fleet);
+    void (*injectFault)(GatewayFleet &fleet);
 };
 
 void PrintTo(const StoreCase &value, std::ostream *out) // NOLINT(readability-identifier-naming): found by GoogleTest
@@ -350,30 +347,30 @@
 
 } // namespace
 
-// What the store does while the ends are noted; each host holds to what it knows, and all know once the store is back.
-TEST_P(CrashingRequestStore, IsHarmedAndTheRequestIsHeldBackAllTheSame)
+// The store fails while crashes are recorded: each host applies what it knows itself, and all hosts know once the store is back.
+TEST_P(CrashingRequestStore, RequestIsHeldBackDespiteStoreFaults)
 {
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
-    GetParam().harm(fleet);
-    repeat(fleet, 3, 1); // at one host, which knows without the store
+    GetParam().injectFault(fleet);
+    sendRepeats(fleet, 3, 1); // at one host, which needs no store to know its own crashes
     EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
     fleet.store.faults = {};
     for (const auto &proxy : fleet.storeProxies) {
         proxy->setMode(ProxyMode::Pass);
     }
     fleet.run(3000ms);
-    repeat(fleet, 8, 5);
+    sendRepeats(fleet, 8, 5);
     EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
 }
 
 INSTANTIATE_TEST_SUITE_P(Store,
                          CrashingRequestStore,
-                         ::testing::Values(StoreCase{"Away",
+                         ::testing::Values(StoreCase{"Unavailable",
                                                      [](GatewayFleet &fleet) {
                                                          fleet.store.faults.refuseWith = 503;
                                                      }},
-                                           StoreCase{"RefusesForItsRate",
+                                           StoreCase{"RateLimited",
                                                      [](GatewayFleet &fleet) {
                                                          fleet.store.faults.refuseWith = 429;
                                                      }},
@@ -385,16 +382,16 @@
                                                      [](GatewayFleet &fleet) {
                                                          fleet.store.faults.loseWrites = 2;
                                                      }},
-                                           StoreCase{"ForgetsItsHistory",
+                                           StoreCase{"LosesRevisionHistory",
                                                      [](GatewayFleet &fleet) {
                                                          fleet.store.faults.forgetful = true;
                                                      }},
-                                           StoreCase{"TurnsOneHostAway",
+                                           StoreCase{"RefusesOneHost",
                                                      [](GatewayFleet &fleet) {
                                                          fleet.storeProxies[0]->setMode(ProxyMode::Refuse);
                                                          fleet.storeProxies[0]->reset();
                                                      }},
-                                           StoreCase{"IsSilentToOneHost",
+                                           StoreCase{"SilentToOneHost",
                                                      [](GatewayFleet &fleet) {
                                                          fleet.storeProxies[0]->setMode(ProxyMode::Silent);
                                                      }}),
@@ -402,8 +399,8 @@
                              return info.param.name;
                          });
 
-// Other writers' records, and what a later version may write, hold nothing back and hide nothing.
-TEST(CrashingRequestStoreRecords, ThatCantBeReadAreLeftOut)
+// Records of other writers or later versions neither hold a request back nor keep valid records from being read.
+TEST(CrashingRequestStoreRecords, MalformedRecordsAreIgnored)
 {
     GatewayFleet fleet({.gateways = 3});
     for (const char *content : {R"({})",
@@ -421,17 +418,17 @@
     fleet.store.set("fulmarlink-crashes", "odd name/../\r\n", boost::json::parse(R"({"kind":"crash","host":"h","written_ms":1,"lives":[],"suspects":[]})"));
     ASSERT_TRUE(fleet.start());
     EXPECT_EQ(fleet.ask(0, fleet.request("/again/fine")).status, 200U);
-    repeat(fleet, 6, 3);
+    sendRepeats(fleet, 6, 3);
     EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
 }
 
-// The last record of a rare end comes while watches hear nothing: it is known when all records are read anew.
-TEST(CrashingRequestStoreRecords, ThatAWatchDidNotTellOfAreReadAfterAWhile)
+// The store announces no changes: records written meanwhile are found by the periodic full read.
+TEST(CrashingRequestStoreRecords, RecordsThatAreNotAnnouncedAreFoundByTheFullRead)
 {
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
     fleet.store.faults.deaf = true;
-    repeat(fleet, 2, 1);
+    sendRepeats(fleet, 2, 1);
     fleet.run(11s);
     EXPECT_EQ(fleet.ask(4, fleet.request(kStream)).status, 503U);
     EXPECT_LE(fleet.arrivals(kStream), 2U);
--- a/testing/faultisolation_test.cpp
+++ b/testing/faultisolation_test.cpp
@@ -1,6 +1,6 @@
-// A thing that ends whoever takes it, and is handed to the next: a request that breaks its
-// handler at one gateway after the other, an object of the store that breaks each host that
-// reads it. An exception there must cost that request or that reading alone.
+// Guards against one input taking down gateways one after the other: a request that makes its
+// handler throw at each gateway it is sent to, or a store object that makes each host throw that
+// reads it. The exception must fail only that request or that read.
 
 #include <boost/json/serialize.hpp>
 #include <random>
@@ -17,183 +17,183 @@
 namespace
 {
 
-/** Requests whose path contains "broken-reading" or "broken-writing" break the translation there. */
-class BrokenProtocol final : public CallerProtocol
+/** Throws in readRequest() for paths that contain "broken-reading", and in writeRequest() for "broken-writing". */
+class ThrowingProtocol final : public CallerProtocol
 {
 public:
     CallerRequest readRequest(const HttpRequest &request) const override
     {
-        breakOn(request, "broken-reading");
-        return m_sound.readRequest(request);
+        throwIfPathContains(request, "broken-reading");
+        return m_delegate.readRequest(request);
     }
 
     void writeRequest(HttpRequest &request, const RunnerRequest &extra) const override
     {
-        breakOn(request, "broken-writing");
-        m_sound.writeRequest(request, extra);
+        throwIfPathContains(request, "broken-writing");
+        m_delegate.writeRequest(request, extra);
     }
 
     RunnerAnswer readAnswer(unsigned status, const Fields &head) const override
     {
-        return m_sound.readAnswer(status, head);
+        return m_delegate.readAnswer(status, head);
     }
 
     void copyAnswerHead(const Fields &from, Fields &to) const override
     {
-        m_sound.copyAnswerHead(from, to);
+        m_delegate.copyAnswerHead(from, to);
     }
 
     void writeOwnAnswer(Fields &head, std::string_view attemptId, std::optional<Duration> retryAfter) const override
     {
-        m_sound.writeOwnAnswer(head, attemptId, retryAfter);
+        m_delegate.writeOwnAnswer(head, attemptId, retryAfter);
     }
 
 private:
-    static void breakOn(const HttpRequest &request, const std::string &word)
+    static void throwIfPathContains(const HttpRequest &request, const std::string &word)
     {
         if (std::string(request.target()).find(word) != std::string::npos) {
-            throw std::runtime_error("a request that nobody thought of");
+            throw std::runtime_error("injected fault in the request translation");
         }
     }
 
-    PlatformProtocol m_sound;
+    PlatformProtocol m_delegate;
 };
 
-/** Each kind of reading breaks when it is told to, once. */
-class BrokenPlatform final : public Platform
+/** Forwards to another Platform; each kind of operation throws once after its flag is set. */
+class ThrowingPlatform final : public Platform
 {
 public:
-    explicit BrokenPlatform(std::unique_ptr<Platform> sound)
-        : m_sound(std::move(sound))
+    explicit ThrowingPlatform(std::unique_ptr<Platform> delegate)
+        : m_delegate(std::move(delegate))
     {
     }
 
     asio::awaitable<ConfigurationRead> readConfiguration() override
     {
-        breakIfTold(breakConfiguration);
-        co_return co_await m_sound->readConfiguration();
+        throwIfRequested(throwOnConfiguration);
+        co_return co_await m_delegate->readConfiguration();
     }
 
     asio::awaitable<TargetsRead> readTargets() override
     {
-        breakIfTold(breakTargets);
-        co_return co_await m_sound->readTargets();
+        throwIfRequested(throwOnTargets);
+        co_return co_await m_delegate->readTargets();
     }
 
     asio::awaitable<std::error_code> renewEntry(std::string host, std::uint64_t renewals) override
     {
-        return m_sound->renewEntry(std::move(host), renewals);
+        return m_delegate->renewEntry(std::move(host), renewals);
     }
 
     asio::awaitable<EntriesRead> readEntries() override
     {
-        breakIfTold(breakEntries);
-        co_return co_await m_sound->readEntries();
+        throwIfRequested(throwOnEntries);
+        co_return co_await m_delegate->readEntries();
     }
 
     asio::awaitable<LeaseRead> readLease(std::string group, bool allowStale) override
     {
-        breakIfTold(breakLease);
-        co_return co_await m_sound->readLease(std::move(group), allowStale);
+        throwIfRequested(throwOnLease);
+        co_return co_await m_delegate->readLease(std::move(group), allowStale);
     }
 
     asio::awaitable<LeaseRead> writeLease(std::string group, LeaseRecord record) override
     {
-        return m_sound->writeLease(std::move(group), std::move(record));
+        return m_delegate->writeLease(std::move(group), std::move(record));
     }
 
     asio::awaitable<SharedRecordsRead> readSharedRecords() override
     {
-        breakIfTold(breakCrashRecords);
-        co_return co_await m_sound->readSharedRecords();
+        throwIfRequested(throwOnCrashRecords);
+        co_return co_await m_delegate->readSharedRecords();
     }
 
     asio::awaitable<SharedRecordsRead> awaitSharedRecords(std::uint64_t revision, std::chrono::milliseconds wait) override
     {
-        breakIfTold(breakCrashRecords);
-        co_return co_await m_sound->awaitSharedRecords(revision, std::min(wait, 200ms));
+        throwIfRequested(throwOnCrashRecords);
+        co_return co_await m_delegate->awaitSharedRecords(revision, std::min(wait, 200ms));
     }
 
     asio::awaitable<std::error_code> writeCrashRecord(CrashRecord record) override
     {
-        breakIfTold(breakCrashWrites);
-        co_return co_await m_sound->writeCrashRecord(std::move(record));
+        throwIfRequested(throwOnCrashWrites);
+        co_return co_await m_delegate->writeCrashRecord(std::move(record));
     }
 
     asio::awaitable<std::error_code> removeCrashRecord(std::string name) override
     {
-        return m_sound->removeCrashRecord(std::move(name));
+        return m_delegate->removeCrashRecord(std::move(name));
     }
 
     asio::awaitable<std::error_code> writeLimitRecord(LimitRecord record) override
     {
-        return m_sound->writeLimitRecord(std::move(record));
+        return m_delegate->writeLimitRecord(std::move(record));
     }
 
-    asio::awaitable<std::error_code> removeLimitRecord(TargetIncarnation life) override
+    asio::awaitable<std::error_code> removeLimitRecord(TargetIncarnation incarnation) override
     {
-        return m_sound->removeLimitRecord(std::move(life));
+        return m_delegate->removeLimitRecord(std::move(incarnation));
     }
 
     void setRunnerListener(RunnerListener *listener) override
     {
-        m_sound->setRunnerListener(listener);
+        m_delegate->setRunnerListener(listener);
     }
 
     asio::awaitable<RankReportRead> readRankReport(TargetInfo target) override
     {
-        breakIfTold(breakReports);
-        co_return co_await m_sound->readRankReport(std::move(target));
+        throwIfRequested(throwOnReports);
+        co_return co_await m_delegate->readRankReport(std::move(target));
     }
 
     asio::awaitable<ExpertCountsRead> readExpertCounts(TargetInfo target, unsigned layerSets) override
     {
-        return m_sound->readExpertCounts(std::move(target), layerSets);
+        return m_delegate->readExpertCounts(std::move(target), layerSets);
     }
 
     asio::awaitable<RankPlacementRead> readRankPlacement(TargetInfo target) override
     {
-        breakIfTold(breakPlacements);
-        co_return co_await m_sound->readRankPlacement(std::move(target));
+        throwIfRequested(throwOnPlacements);
+        co_return co_await m_delegate->readRankPlacement(std::move(target));
     }
 
     asio::awaitable<OrderResult> order(TargetInfo target, RankOrder order) override
     {
-        return m_sound->order(std::move(target), std::move(order));
+        return m_delegate->order(std::move(target), std::move(order));
     }
 
-    bool breakConfiguration = false;
-    bool breakTargets = false;
-    bool breakEntries = false;
-    bool breakLease = false;
-    bool breakCrashRecords = false;
-    bool breakCrashWrites = false;
-    bool breakReports = false;
-    bool breakPlacements = false;
+    bool throwOnConfiguration = false;
+    bool throwOnTargets = false;
+    bool throwOnEntries = false;
+    bool throwOnLease = false;
+    bool throwOnCrashRecords = false;
+    bool throwOnCrashWrites = false;
+    bool throwOnReports = false;
+    bool throwOnPlacements = false;
 
 private:
-    static void breakIfTold(bool &told)
+    static void throwIfRequested(bool &requested)
     {
-        if (std::exchange(told, false)) {
-            throw std::out_of_range("an object that nobody thought of");
+        if (std::exchange(requested, false)) {
+            throw std::out_of_range("injected fault in the platform");
         }
     }
 
-    std::unique_ptr<Platform> m_sound;
+    std::unique_ptr<Platform> m_delegate;
 };
 
 class FaultIsolation : public GatewayTest
 {
 public:
-    void startBroken()
+    void startWithThrowingEdges()
     {
         PlatformClientOptions options;
         options.store = settings.store;
-        auto broken = std::make_unique<BrokenPlatform>(std::make_unique<PlatformClient>(context.get_executor(), clock, counters, options));
-        platform = broken.get();
+        auto throwing = std::make_unique<ThrowingPlatform>(std::make_unique<PlatformClient>(context.get_executor(), clock, counters, options));
+        platform = throwing.get();
         GatewayEdges edges;
-        edges.protocol = std::make_unique<BrokenProtocol>();
-        edges.platform = std::move(broken);
+        edges.protocol = std::make_unique<ThrowingProtocol>();
+        edges.platform = std::move(throwing);
         settings.leavingBound = 500ms;
         settings.configurationBound = 500ms;
         gateway = std::make_unique<Gateway>(context, settings, counters, std::move(edges));
@@ -205,14 +205,14 @@
             5s));
     }
 
-    BrokenPlatform *platform = nullptr;
+    ThrowingPlatform *platform = nullptr;
 };
 
 } // namespace
 
-TEST_F(FaultIsolation, ARequestThatBreaksItsHandlerEndsAlone)
+TEST_F(FaultIsolation, ExceptionInARequestHandlerFailsOnlyThatRequest)
 {
-    startBroken();
+    startWithThrowingEdges();
     for (unsigned i = 0; i < 5; ++i) {
         EXPECT_NE(ask(request("/again/broken-reading"), 500ms).status, 200U);
         EXPECT_NE(ask(request("/again/broken-writing"), 500ms).status, 200U);
@@ -224,22 +224,22 @@
             return gateway->drained();
         },
         4s))
-        << "what broke off counts as unanswered for ever";
+        << "failed requests still count as in progress";
 }
 
-TEST_F(FaultIsolation, AReadingThatBreaksIsDoneAgain)
+TEST_F(FaultIsolation, StoreReadsAreRepeatedAfterAnException)
 {
     joinGroups("north", "south");
-    startBroken();
+    startWithThrowingEdges();
     context.run_for(600ms);
-    for (bool *told : {&platform->breakConfiguration,
-                       &platform->breakTargets,
-                       &platform->breakEntries,
-                       &platform->breakLease,
-                       &platform->breakCrashRecords,
-                       &platform->breakReports,
-                       &platform->breakPlacements}) {
-        *told = true;
+    for (bool *requested : {&platform->throwOnConfiguration,
+                            &platform->throwOnTargets,
+                            &platform->throwOnEntries,
+                            &platform->throwOnLease,
+                            &platform->throwOnCrashRecords,
+                            &platform->throwOnReports,
+                            &platform->throwOnPlacements}) {
+        *requested = true;
     }
     context.run_for(3000ms);
     json::value next = json::parse(kConfiguration);
@@ -253,26 +253,26 @@
         },
         4s));
     context.run_for(1000ms);
-    EXPECT_TRUE(gateway->ready()) << "readings of the configuration go on";
+    EXPECT_TRUE(gateway->ready()) << "the configuration is still read";
     a.seen.clear();
     for (unsigned i = 0; i < 10; ++i) {
         EXPECT_EQ(ask(request("/once/x", "fresh")).status, 200U);
     }
-    EXPECT_TRUE(a.seen.empty()) << "readings of the list go on";
+    EXPECT_TRUE(a.seen.empty()) << "the list of runners is still read";
 }
 
-TEST_F(FaultIsolation, AKeeperOfMapsThatBreaksIsReplaced)
+TEST_F(FaultIsolation, MapLeadershipRecoversFromAnException)
 {
     joinGroups("north", "south");
-    startBroken();
+    startWithThrowingEdges();
     const auto owned = [this] {
         return counters.text().find("fulmarlink_map_leader 2\n") != std::string::npos;
     };
     ASSERT_TRUE(runUntil(owned, 6s));
-    platform->breakLease = true;
+    platform->throwOnLease = true;
     context.run_for(300ms);
-    platform->breakPlacements = true;
-    platform->breakReports = true;
+    platform->throwOnPlacements = true;
+    platform->throwOnReports = true;
     context.run_for(4000ms);
     EXPECT_TRUE(runUntil(owned, 10s));
     EXPECT_EQ(ask(request("/again/fine")).status, 200U);
@@ -281,22 +281,22 @@
 namespace
 {
 
-/** Values that other writers may put where numbers, texts or lists belong. */
+/** Returns a value that another writer may have put in place of a number, text or list. */
 json::value oddValue(std::mt19937 &random)
 {
-    static const json::array kOdd = [] {
-        json::array odd = json::parse(R"([null, true, -1, 0, 1e308, -1e308, 0.5, "", "text", [], [[[]], 1, "x"], {}, {"a": {}}])").as_array();
-        odd.emplace_back(std::numeric_limits<std::int64_t>::min());
-        odd.emplace_back(std::numeric_limits<std::uint64_t>::max());
-        odd.emplace_back("\xff\xfe");
-        odd.emplace_back(std::string(5000, 'x'));
-        return odd;
+    static const json::array kOddValues = [] {
+        json::array values = json::parse(R"([null, true, -1, 0, 1e308, -1e308, 0.5, "", "text", [], [[[]], 1, "x"], {}, {"a": {}}])").as_array();
+        values.emplace_back(std::numeric_limits<std::int64_t>::min());
+        values.emplace_back(std::numeric_limits<std::uint64_t>::max());
+        values.emplace_back("\xff\xfe");
+        values.emplace_back(std::string(5000, 'x'));
+        return values;
     }();
-    return kOdd[random() % kOdd.size()];
+    return kOddValues[random() % kOddValues.size()];
 }
 
-/** Replaces, drops or repeats a few parts of @p value. */
-void spoil(json::value &value, std::mt19937 &random)
+/** Replaces, removes or repeats random parts of @p value. */
+void corrupt(json::value &value, std::mt19937 &random)
 {
     if (random() % 6 == 0) {
         value = oddValue(random);
@@ -305,7 +305,7 @@
     if (json::object *object = value.if_object()) {
         for (auto &field : *object) {
             if (random() % 3 == 0) {
-                spoil(field.value(), random);
+                corrupt(field.value(), random);
             }
         }
         if (!object->empty() && random() % 4 == 0) {
@@ -314,7 +314,7 @@
     } else if (json::array *array = value.if_array()) {
         for (json::value &item : *array) {
             if (random() % 3 == 0) {
-                spoil(item, random);
+                corrupt(item, random);
             }
         }
         if (!array->empty() && random() % 4 == 0) {
@@ -334,10 +334,10 @@
 
 } // namespace
 
-TEST(FaultIsolationDecoders, ReadWhateverStandsInTheStoreWithoutAnException)
+TEST(FaultIsolationDecoders, MalformedStoreContentCausesNoException)
 {
     std::mt19937 random(21);
-    for (unsigned play = 0; play < 20'000; ++play) {
+    for (unsigned iteration = 0; iteration < 20'000; ++iteration) {
         json::value configuration = json::parse(kConfiguration);
         json::value entry = json::parse(kRunnerEntry);
         json::value report = json::parse(kReport);
@@ -345,7 +345,7 @@
         json::value placement = json::parse(kPlacement);
         json::value crash = json::parse(kCrash);
         for (json::value *value : {&configuration, &entry, &report, &counts, &placement, &crash}) {
-            spoil(*value, random);
+            corrupt(*value, random);
         }
         std::string problem;
         std::error_code error;
--- a/testing/requestfingerprint_test.cpp
+++ b/testing/requestfingerprint_test.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST(RequestFingerprint, DiffersWithEachPartAndWithTheBorderBetweenParts)
+TEST(RequestFingerprint, DiffersInEachFieldAndInFieldBoundaries)
 {
     const std::set<RequestFingerprint> all{fingerprintOf(kBase),
                                            fingerprintOf({"other", "POST", "h.example", "/a/b?q=1", "body"}),
@@ -26,21 +26,21 @@
     EXPECT_EQ(all.size(), 8U);
 }
 
-TEST(RequestFingerprint, IsTheSameOnEveryHostAndInEveryVersion)
+TEST(RequestFingerprint, IsStableAcrossHostsAndVersions)
 {
     EXPECT_EQ(fingerprintOf(kBase), fingerprintOf(kBase));
-    EXPECT_EQ(fingerprintOf({}).text(), "2d06800538d394c29a026d96b3c0f0fca057271c9071c99d") << "hosts of another version hold records under these keys";
+    EXPECT_EQ(fingerprintOf({}).text(), "2d06800538d394c29a026d96b3c0f0fca057271c9071c99d") << "hosts of other versions store records under these keys";
 }
 
-TEST(RequestFingerprint, EqualBodiesOfTwoCustomersDifferInTheCustomersPartAlone)
+TEST(RequestFingerprint, EqualBodiesOfTwoCustomersDifferOnlyInTheCustomerPart)
 {
-    const RequestFingerprint mine = fingerprintOf(kBase);
-    const RequestFingerprint theirs = fingerprintOf({"other", "POST", "h.example", "/a/b?q=1", "body"});
-    EXPECT_NE(mine.customer, theirs.customer);
-    EXPECT_EQ(mine.low, theirs.low);
+    const RequestFingerprint own = fingerprintOf(kBase);
+    const RequestFingerprint other = fingerprintOf({"other", "POST", "h.example", "/a/b?q=1", "body"});
+    EXPECT_NE(own.customer, other.customer);
+    EXPECT_EQ(own.low, other.low);
 }
 
-TEST(RequestFingerprint, TheWholeOfALongBodyCounts)
+TEST(RequestFingerprint, CoversTheWholeBody)
 {
     std::string body(1U << 20, 'x');
     const RequestFingerprint before = fingerprintOf({"c", "POST", "h", "/", body});
@@ -48,12 +48,13 @@
     EXPECT_NE(fingerprintOf({"c", "POST", "h", "/", body}), before);
 }
 
-TEST(RequestFingerprint, ItsTextIsReadBackAndNothingElseIs)
+TEST(RequestFingerprint, ParsesOnlyTheFormOfItsText)
 {
     const RequestFingerprint fingerprint = fingerprintOf(kBase);
     EXPECT_EQ(RequestFingerprint::parse(fingerprint.text()), fingerprint);
-    for (const std::string &bad : {std::string(), std::string("12"), std::string(48, 'g'), std::string(49, '0'), std::string(48, '-'), std::string(48, 'A')}) {
-        EXPECT_FALSE(RequestFingerprint::parse(bad)) << bad;
+    for (const std::string &invalid :
+         {std::string(), std::string("12"), std::string(48, 'g'), std::string(49, '0'), std::string(48, '-'), std::string(48, 'A')}) {
+        EXPECT_FALSE(RequestFingerprint::parse(invalid)) << invalid;
     }
 }
 
