--- a/fulmarlink/crashwatch.h
+++ b/fulmarlink/crashwatch.h
@@ -46,7 +46,10 @@
      * accepts it, it joins the connection pool, otherwise the check continues in the background.
      */
     boost::asio::awaitable<bool> seemsEnded(TargetInfo target);
-    /** The list of runners shows the runner with start time @p born: its earlier incarnations have ended. */
+    /**
+     * The list of runners shows that the runner has restarted: all of its incarnations have ended but the one that started at
+     * @p born (0 if it is no longer listed under this id).
+     */
     void restarted(const std::string &targetId, std::uint64_t born);
     /** Claims the next trial of a request that is held back; true on one host only. */
     boost::asio::awaitable<bool> claimTrial(CrashSuspect suspect);
--- a/testing/faultisolation_test.cpp
+++ b/testing/faultisolation_test.cpp
@@ -59,7 +59,7 @@
     PlatformProtocol m_delegate;
 };
 
-/** Forwards to another Platform; each kind of operation throws once after its flag is set. */
+/** Forwards to another Platform; an operation with a throwOn flag throws once after the flag is set. */
 class ThrowingPlatform final : public Platform
 {
 public:
