--- a/fulmarlink/pacewatch.cpp
+++ b/fulmarlink/demandshiftdetector.cpp
@@ -1,4 +1,4 @@
-#include "fulmarlink/pacewatch.h"
+#include "fulmarlink/demandshiftdetector.h"
 
 #include <algorithm>
 
@@ -32,35 +32,35 @@
 
 } // namespace
 
-void PaceWatch::restart(TimePoint now)
+void DemandShiftDetector::restart(TimePoint now)
 {
     m_restarted = now;
     m_calm.reset();
 }
 
-bool PaceWatch::turned(const PaceView &view, TimePoint now)
+bool DemandShiftDetector::countsDue(const EventTiming &view, TimePoint now)
 {
     const Duration rested = now - m_restarted;
-    if (!view.meanPause) {
+    if (!view.meanInterval) {
         return rested > kLongestBlindRest;
     }
-    m_calm = m_calm ? std::min(*m_calm, *view.meanPause) : *view.meanPause;
-    const bool easy = seconds(*view.meanPause) < seconds(view.gapTarget) * kEasyShare;
+    m_calm = m_calm ? std::min(*m_calm, *view.meanInterval) : *view.meanInterval;
+    const bool easy = seconds(*view.meanInterval) < seconds(view.gapTarget) * kEasyShare;
     if (easy || rested < kSettle) {
         return false;
     }
-    const bool slower = seconds(*view.meanPause) > seconds(*m_calm) * kSlowdown;
+    const bool slower = seconds(*view.meanInterval) > seconds(*m_calm) * kSlowdown;
     const bool silent = !mutated(Mutation::BlindToSilence) && seconds(now - view.lastEvent) > seconds(*m_calm) * kSilence;
-    const bool late = *view.meanPause > view.gapTarget && rested > kLateRest;
+    const bool late = *view.meanInterval > view.gapTarget && rested > kLateRest;
     return slower || silent || late || rested > kLongestRest;
 }
 
-bool PaceWatch::farSlower(std::optional<Duration> meanPause, std::optional<Duration> calm)
+bool DemandShiftDetector::suggestsSlowRank(std::optional<Duration> meanInterval, std::optional<Duration> calm)
 {
-    return meanPause && calm && seconds(*meanPause) > seconds(*calm) * kFarSlowdown;
+    return meanInterval && calm && seconds(*meanInterval) > seconds(*calm) * kFarSlowdown;
 }
 
-std::optional<Duration> PaceWatch::calmPause() const
+std::optional<Duration> DemandShiftDetector::baselineInterval() const
 {
     return m_calm;
 }
--- a/fulmarlink/pacewatch.h
+++ b/fulmarlink/demandshiftdetector.h
@@ -8,8 +8,8 @@
 {
 
 /** The pace of a group as its streams show it here. */
-struct PaceView {
-    std::optional<Duration> meanPause; ///< between events of the last few passes; nothing where too few were seen
+struct EventTiming {
+    std::optional<Duration> meanInterval; ///< between events of the last few passes; nothing where too few were seen
     TimePoint lastEvent{}; ///< when an event last came
     Duration gapTarget{0}; ///< the longest pause that is on time
 };
@@ -25,17 +25,17 @@
  *
  * Contract: pure; not thread-safe.
  */
-class PaceWatch
+class DemandShiftDetector
 {
 public:
     /** Counts were read, or a switch has ended: the pace is measured anew. */
     void restart(TimePoint now);
     /** True if the counts should be read now. To be asked often: the calm pace is learned on the way. */
-    bool turned(const PaceView &view, TimePoint now);
+    bool countsDue(const EventTiming &view, TimePoint now);
     /** Whether passes take so much longer than @p calm ones that no turn of demand explains it: a rank must be slow. */
-    static bool farSlower(std::optional<Duration> meanPause, std::optional<Duration> calm);
+    static bool suggestsSlowRank(std::optional<Duration> meanInterval, std::optional<Duration> calm);
     /** The shortest mean pause since restart(). */
-    std::optional<Duration> calmPause() const;
+    std::optional<Duration> baselineInterval() const;
 
 private:
     std::optional<Duration> m_calm;
--- a/fulmarlink/mapkeeper.cpp
+++ b/fulmarlink/expertmapcontroller.cpp
@@ -3,7 +3,7 @@
 // expensive and old part, so they are read only to choose the pass to hold, when an order was
 // refused, and when the group seems to stand still.
 
-#include "fulmarlink/mapkeeper.h"
+#include "fulmarlink/expertmapcontroller.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -63,14 +63,14 @@
 
 } // namespace
 
-MapKeeper::MapKeeper(asio::io_context &context, GatewayState &state, Platform &platform, std::string pool, std::string group)
+ExpertMapController::ExpertMapController(asio::io_context &context, GatewayState &state, Platform &platform, std::string pool, std::string group)
     : m_context(context)
     , m_state(state)
     , m_platform(platform)
     , m_pool(std::move(pool))
     , m_group(std::move(group))
     , m_leaseName(m_pool + '.' + m_group)
-    , m_lease(context, state, platform, m_leaseName, LeaseOptions{.self = state.settings.host, .patience = takeoverPatience(state.settings.linkMbps)})
+    , m_lease(context, state, platform, m_leaseName, LeaseOptions{.self = state.settings.host, .acquireDelay = takeoverPatience(state.settings.linkMbps)})
     , m_switchesDone(state.counters.registerCounter("fulmarlink_map_switches_total"))
     , m_switchesGivenUp(state.counters.registerCounter("fulmarlink_map_switches_given_up_total"))
     , m_copies(state.counters.registerCounter("fulmarlink_expert_copies_total"))
@@ -79,31 +79,31 @@
 {
 }
 
-asio::awaitable<void> MapKeeper::sleep(Duration duration)
+asio::awaitable<void> ExpertMapController::sleep(Duration duration)
 {
     boost::system::error_code ignored; // the timer is not cancelled
     asio::steady_timer timer(m_context, duration);
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-std::optional<EngineSpec> MapKeeper::engine() const
+std::optional<EngineSpec> ExpertMapController::engine() const
 {
     const auto active = m_state.config.active();
     const ServiceSpec *service = active ? active->configuration.service(m_pool) : nullptr;
     return service != nullptr && service->engine && service->engine->layerSets > 0 ? service->engine : std::nullopt;
 }
 
-PoolGate &MapKeeper::gate() const
+PoolGate &ExpertMapController::gate() const
 {
     return m_state.pool(m_pool).gate(m_group);
 }
 
-bool MapKeeper::ended() const
+bool ExpertMapController::ended() const
 {
     return m_ended && m_lease.ended();
 }
 
-bool MapKeeper::hasMembers()
+bool ExpertMapController::hasMembers()
 {
     const bool any = !m_state.targets.listed(m_pool, m_group).empty();
     m_lastMember = any || m_lastMember == TimePoint{} ? m_state.clock.now() : m_lastMember;
@@ -111,7 +111,7 @@
 }
 
 /** How long this host lets others take the group's lease first. */
-Duration MapKeeper::patience() const
+Duration ExpertMapController::acquireDelay() const
 {
     const bool streams = gate().recentPause(m_state.clock.now()).has_value();
     const unsigned others = m_state.groupsOwned - (m_wasLeader ? 1 : 0);
@@ -119,7 +119,7 @@
 }
 
 /** What the host does when its lease has begun or ended. */
-asio::awaitable<void> MapKeeper::noteLease()
+asio::awaitable<void> ExpertMapController::noteLease()
 {
     const bool leader = m_lease.holds();
     if (leader == m_wasLeader) {
@@ -144,7 +144,7 @@
     }
 }
 
-asio::awaitable<void> MapKeeper::run()
+asio::awaitable<void> ExpertMapController::run()
 {
     auto lease = [this] {
         return m_lease.run();
@@ -164,7 +164,7 @@
                 co_await recover();
             }
         }
-        m_lease.setPatience(patience());
+        m_lease.setAcquireDelay(acquireDelay());
         co_await noteLease();
         applySlowTargets();
         if (m_lease.holds() && !standsStill()) {
@@ -174,7 +174,7 @@
     co_await end();
 }
 
-asio::awaitable<void> MapKeeper::end()
+asio::awaitable<void> ExpertMapController::end()
 {
     const bool held = m_lease.holds();
     co_await m_lease.stop(kYield);
@@ -187,7 +187,7 @@
     m_ended = true;
 }
 
-asio::awaitable<void> MapKeeper::leaderRound()
+asio::awaitable<void> ExpertMapController::leaderRound()
 {
     if (!m_mapKnown) {
         const TimePoint now = m_state.clock.now();
@@ -216,7 +216,7 @@
     if (!paceTurned()) {
         co_return;
     }
-    const std::optional<Duration> calm = m_pace.calmPause();
+    const std::optional<Duration> calm = m_pace.baselineInterval();
     co_await readCounts(); // the window's beginning
     m_load.take();
     for (unsigned passes = 0; passes < kWindowPasses && m_load.gathered() < kLeastChoices; ++passes) {
@@ -230,7 +230,7 @@
     if (load.size() != m_map.size() || load.front().size() != m_engine.experts) {
         co_return;
     }
-    if (PaceWatch::farSlower(gate().recentPause(m_state.clock.now()), calm)) {
+    if (DemandShiftDetector::suggestsSlowRank(gate().recentPause(m_state.clock.now()), calm)) {
         co_await lookForSlowRanks();
     }
     const double least = m_state.settings.leastImprovement * m_state.settings.costWeight / std::max(kLeastWeight, m_state.settings.skewWeight);
@@ -253,7 +253,7 @@
 }
 
 /** Whether passes stay so long after a first switch that the rest of the copies is worth its price. */
-bool MapKeeper::restNeeded(std::optional<Duration> calm, double imbalance)
+bool ExpertMapController::restNeeded(std::optional<Duration> calm, double imbalance)
 {
     const Duration target = gate().gapTarget();
     if (!calm) {
@@ -263,7 +263,7 @@
     return expected > std::chrono::duration<double>(target) * m_state.settings.restShare;
 }
 
-asio::awaitable<ExpertPlan> MapKeeper::planned(const std::vector<std::vector<double>> &load, Duration copyBudget)
+asio::awaitable<ExpertPlan> ExpertMapController::planned(const std::vector<std::vector<double>> &load, Duration copyBudget)
 {
     const EngineSpec spec = m_engine;
     ExpertPlanOptions options;
@@ -286,13 +286,13 @@
     co_return plan;
 }
 
-asio::awaitable<void> MapKeeper::leave()
+asio::awaitable<void> ExpertMapController::leave()
 {
     logWarning("lease-left", {{"pool", m_pool}, {"group", m_group}, {"term", std::to_string(m_lease.termId())}});
-    co_await m_lease.leave(kYield);
+    co_await m_lease.release(kYield);
 }
 
-asio::awaitable<void> MapKeeper::recover()
+asio::awaitable<void> ExpertMapController::recover()
 {
     const Duration lag = m_engine.reportLag + kReportMargin;
     co_await sleep(std::max(Duration(0), m_lastOrder + lag - m_state.clock.now()));
@@ -316,7 +316,7 @@
     co_await drive(Duration(0), true);
 }
 
-asio::awaitable<void> MapKeeper::change(ExpertPlan plan)
+asio::awaitable<void> ExpertMapController::change(ExpertPlan plan)
 {
     const EngineSpec spec = m_engine;
     const std::uint64_t version = m_lease.termId() * kVersionsOfTerm + ++m_switches % kVersionsOfTerm;
--- a/fulmarlink/mapkeeper.h
+++ b/fulmarlink/expertmapcontroller.h
@@ -6,12 +6,12 @@
 #include <map>
 #include <optional>
 
+#include "fulmarlink/demandshiftdetector.h"
 #include "fulmarlink/expertload.h"
 #include "fulmarlink/expertplanner.h"
 #include "fulmarlink/gatewaystate.h"
 #include "fulmarlink/grouplease.h"
 #include "fulmarlink/groupswitch.h"
-#include "fulmarlink/pacewatch.h"
 #include "fulmarlink/platform.h"
 
 namespace fulmarlink
@@ -27,10 +27,10 @@
  * How to use: run() once for each group; it ends when the process begins to leave, or when
  * the group has had no member for a while.
  */
-class MapKeeper
+class ExpertMapController
 {
 public:
-    MapKeeper(boost::asio::io_context &context, GatewayState &state, Platform &platform, std::string pool, std::string group);
+    ExpertMapController(boost::asio::io_context &context, GatewayState &state, Platform &platform, std::string pool, std::string group);
 
     boost::asio::awaitable<void> run();
     /** Gives the lease back. Part of run(); to be called after it only if it broke off by an exception. */
@@ -43,7 +43,7 @@
 
     PoolGate &gate() const;
     bool hasMembers();
-    Duration patience() const;
+    Duration acquireDelay() const;
     void noteMembers(const std::vector<TargetInfo> &targets, const std::vector<RankReportRead> &reports);
 
     boost::asio::awaitable<void> noteLease();
@@ -106,7 +106,7 @@
     GroupMap m_map;
     std::uint64_t m_switches = 0; ///< of this process; with the term it makes versions unique
     TimePoint m_lastOrder{};
-    PaceWatch m_pace;
+    DemandShiftDetector m_pace;
     bool m_wasLeader = false;
     bool m_ended = false;
     TimePoint m_lastMember{}; ///< when the group last had a member
--- a/fulmarlink/mapkeepercalls.cpp
+++ b/fulmarlink/expertmapcontrollercalls.cpp
@@ -8,8 +8,8 @@
 #include <boost/asio/steady_timer.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
+#include "fulmarlink/expertmapcontroller.h"
 #include "fulmarlink/log.h"
-#include "fulmarlink/mapkeeper.h"
 #include "fulmarlink/rankgroups.h"
 
 namespace fulmarlink
@@ -35,7 +35,7 @@
 } // namespace
 
 /** Parallel calls: each takes one from open; the last wakes the waiter. */
-struct MapKeeper::Gather {
+struct ExpertMapController::Gather {
     Gather(asio::io_context &context, unsigned count)
         : timer(context, asio::steady_timer::time_point::max())
         , open(count)
@@ -58,7 +58,7 @@
     std::vector<std::pair<unsigned, OrderResult>> results;
 };
 
-asio::awaitable<void> MapKeeper::waitFor(std::shared_ptr<Gather> gather)
+asio::awaitable<void> ExpertMapController::waitFor(std::shared_ptr<Gather> gather)
 {
     boost::system::error_code ignored; // cancelled when the last call has ended
     if (gather->open > 0) {
@@ -66,14 +66,14 @@
     }
 }
 
-asio::awaitable<void> MapKeeper::reportOne(unsigned index, std::shared_ptr<Gather> gather)
+asio::awaitable<void> ExpertMapController::reportOne(unsigned index, std::shared_ptr<Gather> gather)
 {
     gather->reports[index] = co_await m_platform.readRankReport(gather->targets[index]);
     gather->finishOne();
 }
 
 /** Runners that have moved to another group are no longer this one's. */
-void MapKeeper::noteMembers(const std::vector<TargetInfo> &targets, const std::vector<RankReportRead> &reports)
+void ExpertMapController::noteMembers(const std::vector<TargetInfo> &targets, const std::vector<RankReportRead> &reports)
 {
     for (unsigned i = 0; i < reports.size(); ++i) {
         if (!reports[i].error) {
@@ -82,7 +82,7 @@
     }
 }
 
-asio::awaitable<bool> MapKeeper::readReports()
+asio::awaitable<bool> ExpertMapController::readReports()
 {
     const std::vector<TargetInfo> targets = m_state.targets.listed(m_pool, m_group);
     auto gather = std::make_shared<Gather>(m_context, static_cast<unsigned>(targets.size()));
@@ -118,13 +118,13 @@
     co_return true;
 }
 
-asio::awaitable<void> MapKeeper::placementOne(unsigned index, std::shared_ptr<Gather> gather)
+asio::awaitable<void> ExpertMapController::placementOne(unsigned index, std::shared_ptr<Gather> gather)
 {
     gather->placements[index] = co_await m_platform.readRankPlacement(gather->targets[index]);
     gather->finishOne();
 }
 
-asio::awaitable<bool> MapKeeper::readPlacements()
+asio::awaitable<bool> ExpertMapController::readPlacements()
 {
     auto gather = std::make_shared<Gather>(m_context, static_cast<unsigned>(m_ranks.size()));
     gather->targets = m_ranks;
@@ -165,13 +165,13 @@
     co_return true;
 }
 
-asio::awaitable<void> MapKeeper::countsOne(unsigned index, std::shared_ptr<Gather> gather)
+asio::awaitable<void> ExpertMapController::countsOne(unsigned index, std::shared_ptr<Gather> gather)
 {
     gather->counts[index] = co_await m_platform.readExpertCounts(gather->targets[index], m_engine.layerSets);
     gather->finishOne();
 }
 
-asio::awaitable<void> MapKeeper::readCounts()
+asio::awaitable<void> ExpertMapController::readCounts()
 {
     auto gather = std::make_shared<Gather>(m_context, 0);
     const std::size_t sampled = std::min<std::size_t>(m_state.settings.sampledRanks, m_ranks.size());
@@ -200,14 +200,14 @@
     }
 }
 
-asio::awaitable<void> MapKeeper::sendOne(unsigned rank, RankOrder order, std::shared_ptr<Gather> gather)
+asio::awaitable<void> ExpertMapController::sendOne(unsigned rank, RankOrder order, std::shared_ptr<Gather> gather)
 {
     const OrderResult result = co_await m_platform.order(m_ranks[rank], std::move(order));
     gather->results.emplace_back(rank, result);
     gather->finishOne();
 }
 
-asio::awaitable<bool> MapKeeper::sendOrders(std::vector<AddressedOrder> orders)
+asio::awaitable<bool> ExpertMapController::sendOrders(std::vector<AddressedOrder> orders)
 {
     bool accepted = true;
     auto gather = std::make_shared<Gather>(m_context, static_cast<unsigned>(orders.size()));
@@ -238,7 +238,7 @@
     co_return accepted;
 }
 
-void MapKeeper::notePass(std::uint64_t pass)
+void ExpertMapController::notePass(std::uint64_t pass)
 {
     m_pass = pass;
     m_passAt = m_state.clock.now();
@@ -248,7 +248,7 @@
  * Which pass is in progress, by the last one known and the pace of the events here; nothing where that is long ago or no events tell. A guess that
  * is too low is refused within a round trip, which costs a seventh of reading a rank's counts and does not stop the group.
  */
-std::optional<std::uint64_t> MapKeeper::passNow() const
+std::optional<std::uint64_t> ExpertMapController::passNow() const
 {
     const TimePoint now = m_state.clock.now();
     const std::optional<Duration> length = gate().recentPause(now);
@@ -259,7 +259,7 @@
 }
 
 /** Which pass is in progress: a rank's counts tell it at once, reports only after their lag. */
-asio::awaitable<bool> MapKeeper::readPass()
+asio::awaitable<bool> ExpertMapController::readPass()
 {
     const ExpertCountsRead read = co_await m_platform.readExpertCounts(m_ranks.front(), m_engine.layerSets);
     if (read.error || read.epoch != m_knownEpoch) {
@@ -277,7 +277,7 @@
  * If it has begun all the same, the hold is refused within a round trip and a later one is
  * tried, which costs less than a pass more of waiting.
  */
-void MapKeeper::choosePass(unsigned refusals)
+void ExpertMapController::choosePass(unsigned refusals)
 {
     std::uint64_t pass = 0;
     for (const RankReport &report : m_reports) {
@@ -289,7 +289,7 @@
     m_switch.holdAt(pass + static_cast<std::uint64_t>(ahead / length) + 1 + refusals);
 }
 
-asio::awaitable<void> MapKeeper::drive(Duration copyTime, bool helping)
+asio::awaitable<void> ExpertMapController::drive(Duration copyTime, bool helping)
 {
     const TimePoint began = m_state.clock.now();
     const Duration lag = m_engine.reportLag + kReportMargin;
--- a/fulmarlink/mapkeeperpace.cpp
+++ b/fulmarlink/expertmapcontrollerpace.cpp
@@ -5,8 +5,8 @@
 #include <boost/asio/use_awaitable.hpp>
 #include <utility>
 
+#include "fulmarlink/expertmapcontroller.h"
 #include "fulmarlink/log.h"
-#include "fulmarlink/mapkeeper.h"
 
 namespace fulmarlink
 {
@@ -28,20 +28,20 @@
 } // namespace
 
 /** Streams are under way here, and none of them has moved for long. */
-bool MapKeeper::standsStill() const
+bool ExpertMapController::standsStill() const
 {
     return m_state.standsStill(m_pool, m_group, m_state.clock.now());
 }
 
-bool MapKeeper::paceTurned()
+bool ExpertMapController::paceTurned()
 {
     const TimePoint now = m_state.clock.now();
     const PoolGate &gate = this->gate();
-    return m_pace.turned({gate.recentPause(now), gate.lastAnswer(), gate.gapTarget()}, now);
+    return m_pace.countsDue({gate.recentPause(now), gate.lastAnswer(), gate.gapTarget()}, now);
 }
 
 /** Whether the group works while this host has no streams by whose pace it could tell. */
-asio::awaitable<bool> MapKeeper::blind()
+asio::awaitable<bool> ExpertMapController::blind()
 {
     const TimePoint now = m_state.clock.now();
     if (gate().recentPause(now) || now - m_blindLook < kBlindLook) {
@@ -54,7 +54,7 @@
 }
 
 /** Reads how fast each rank works; true if that has changed. */
-asio::awaitable<bool> MapKeeper::lookForSlowRanks()
+asio::awaitable<bool> ExpertMapController::lookForSlowRanks()
 {
     m_pacesAt = m_state.clock.now();
     const bool complete = co_await readReports();
@@ -86,7 +86,7 @@
 }
 
 /** Requests go to the ranks that are not slow, here and on every other host. */
-void MapKeeper::applySlowTargets()
+void ExpertMapController::applySlowTargets()
 {
     if (m_lease.record().slowTargets == m_slowTargets) {
         return;
@@ -97,7 +97,7 @@
 }
 
 /** Until events tell that a pass has ended and the next one begun. */
-asio::awaitable<void> MapKeeper::waitForPass()
+asio::awaitable<void> ExpertMapController::waitForPass()
 {
     const PoolGate &gate = this->gate();
     const TimePoint began = m_state.clock.now();
@@ -109,7 +109,7 @@
 }
 
 /** Until the last switch is in force: a rank that is armed takes no new map. */
-asio::awaitable<void> MapKeeper::waitForSwitch()
+asio::awaitable<void> ExpertMapController::waitForSwitch()
 {
     const TimePoint began = m_state.clock.now();
     const auto inForce = [this] {
--- a/fulmarlink/grouplease.cpp
+++ b/fulmarlink/grouplease.cpp
@@ -38,15 +38,15 @@
 
 asio::awaitable<void> GroupLease::step()
 {
-    const LeaseKeeper::Step next = m_keeper.step(m_state.clock.now());
-    m_calling = next != LeaseKeeper::Step::Wait;
-    if (next == LeaseKeeper::Step::Read || next == LeaseKeeper::Step::Look) {
-        const LeaseRead read = co_await m_platform.readLease(m_name, next == LeaseKeeper::Step::Look);
-        m_keeper.readDone(read, m_state.clock.now());
-    } else if (next == LeaseKeeper::Step::Write) {
+    const LeaseElector::Step next = m_keeper.step(m_state.clock.now());
+    m_calling = next != LeaseElector::Step::Wait;
+    if (next == LeaseElector::Step::Read || next == LeaseElector::Step::Poll) {
+        const LeaseRead read = co_await m_platform.readLease(m_name, next == LeaseElector::Step::Poll);
+        m_keeper.handleRead(read, m_state.clock.now());
+    } else if (next == LeaseElector::Step::Write) {
         const TimePoint began = m_state.clock.now();
-        const LeaseRead written = co_await m_platform.writeLease(m_name, m_keeper.toWrite());
-        m_keeper.writeDone(written, began, m_state.clock.now());
+        const LeaseRead written = co_await m_platform.writeLease(m_name, m_keeper.nextRecord());
+        m_keeper.handleWrite(written, began, m_state.clock.now());
     }
     m_calling = false;
 }
@@ -72,25 +72,25 @@
 {
     m_stopped = true;
     if (holds()) {
-        co_await leave(pause);
+        co_await release(pause);
     }
 }
 
-asio::awaitable<void> GroupLease::leave(Duration pause)
+asio::awaitable<void> GroupLease::release(Duration pause)
 {
     m_leaving = true;
     while (m_calling) {
         co_await sleep(kCallPoll); // what is given back must be the newest record
     }
-    const LeaseRecord released = m_keeper.released();
-    m_keeper.yield(m_state.clock.now() + pause);
+    const LeaseRecord released = m_keeper.releasedRecord();
+    m_keeper.standDown(m_state.clock.now() + pause);
     co_await m_platform.writeLease(m_name, released);
     m_leaving = false;
 }
 
-void GroupLease::setPatience(Duration patience)
+void GroupLease::setAcquireDelay(Duration acquireDelay)
 {
-    m_keeper.setPatience(patience);
+    m_keeper.setAcquireDelay(acquireDelay);
 }
 
 void GroupLease::setSlowTargets(std::vector<std::string> ids)
--- a/fulmarlink/grouplease.h
+++ b/fulmarlink/grouplease.h
@@ -4,7 +4,7 @@
 #include <boost/asio/io_context.hpp>
 #include <string>
 
-#include "fulmarlink/leasekeeper.h"
+#include "fulmarlink/leaseelector.h"
 
 namespace fulmarlink
 {
@@ -31,9 +31,9 @@
     /** run() has ended, or was never begun: nothing uses this object any more. */
     bool ended() const;
     /** Gives the lease back and does not take it again for @p pause. */
-    boost::asio::awaitable<void> leave(Duration pause);
+    boost::asio::awaitable<void> release(Duration pause);
     /** How long this host lets others come first; see LeaseOptions. */
-    void setPatience(Duration patience);
+    void setAcquireDelay(Duration acquireDelay);
 
     /** Tells the other hosts which ranks are slow. */
     void setSlowTargets(std::vector<std::string> ids);
@@ -50,7 +50,7 @@
     const GatewayState &m_state;
     Platform &m_platform;
     const std::string &m_name;
-    LeaseKeeper m_keeper;
+    LeaseElector m_keeper;
     bool m_calling = false; ///< a call to the store is unanswered
     bool m_leaving = false; ///< no step begins
     bool m_stopped = false;
--- a/fulmarlink/groupwatch.cpp
+++ b/fulmarlink/groupwatch.cpp
@@ -6,9 +6,9 @@
 #include <boost/asio/steady_timer.hpp>
 #include <boost/asio/use_awaitable.hpp>
 
+#include "fulmarlink/expertmapcontroller.h"
 #include "fulmarlink/gatewaystate.h"
 #include "fulmarlink/log.h"
-#include "fulmarlink/mapkeeper.h"
 #include "fulmarlink/platform.h"
 #include "fulmarlink/supervised.h"
 
@@ -158,7 +158,7 @@
 
 void GroupWatch::startKeeper(const std::string &group)
 {
-    const auto keeper = std::make_shared<MapKeeper>(m_context, m_state, m_platform, m_pool, group);
+    const auto keeper = std::make_shared<ExpertMapController>(m_context, m_state, m_platform, m_pool, group);
     m_keepers.emplace(group, keeper);
     asio::co_spawn(m_context, keeper->run(), [this, keeper](const std::exception_ptr &error) { // it lives as long as its loop
         if (!error) {
--- a/fulmarlink/groupwatch.h
+++ b/fulmarlink/groupwatch.h
@@ -14,14 +14,14 @@
 namespace fulmarlink
 {
 
-class MapKeeper;
+class ExpertMapController;
 class Platform;
 struct GatewayState;
 struct TargetInfo;
 
 /**
  * Learns which rank groups the runners of a pool form, by their own reports, and keeps a
- * MapKeeper for each group. Every entry does so: which runners stall together decides
+ * ExpertMapController for each group. Every entry does so: which runners stall together decides
  * where a request may go.
  *
  * Reports are read when a runner is listed for the first time or again, and all of them
@@ -55,7 +55,7 @@
     const std::string m_pool;
     std::map<std::string, std::uint64_t> m_placed; ///< ids of runners whose group is known, with their start
     std::map<std::string, unsigned> m_members; ///< of each group, as logged last
-    std::map<std::string, std::shared_ptr<MapKeeper>> m_keepers; ///< by group
+    std::map<std::string, std::shared_ptr<ExpertMapController>> m_keepers; ///< by group
     TimePoint m_readAll{}; ///< when all reports were last read
 };
 
--- a/fulmarlink/leasekeeper.cpp
+++ b/fulmarlink/leaseelector.cpp
@@ -1,4 +1,4 @@
-#include "fulmarlink/leasekeeper.h"
+#include "fulmarlink/leaseelector.h"
 
 #include "fulmarlink/mutation.h"
 #include "fulmarlink/resultcode.h"
@@ -13,29 +13,29 @@
 
 } // namespace
 
-LeaseKeeper::LeaseKeeper(LeaseOptions options)
+LeaseElector::LeaseElector(LeaseOptions options)
     : m_options(std::move(options))
 {
 }
 
-LeaseKeeper::Step LeaseKeeper::step(TimePoint now) const
+LeaseElector::Step LeaseElector::step(TimePoint now) const
 {
     if (!m_known) {
         return Step::Read;
     }
     if (m_holding) {
-        return (m_slowTargets && *m_slowTargets != m_seen.slowTargets) || now - m_renewed >= m_options.renewAfter ? Step::Write : Step::Wait;
+        return (m_slowTargets && *m_slowTargets != m_seen.slowTargets) || now - m_renewed >= m_options.renewInterval ? Step::Write : Step::Wait;
     }
     const bool own = m_seen.holder == m_options.self; // of an earlier start of this process
     const bool free = m_seen.revision == 0 || m_seen.holder.empty();
-    const Duration wait = m_options.patience + (free ? Duration(0) : m_options.takeAfter);
+    const Duration wait = m_options.acquireDelay + (free ? Duration(0) : m_options.takeoverTimeout);
     if (now >= m_yieldedUntil && (own || now - m_seenChanged >= wait)) {
         return Step::Write;
     }
-    return now - m_lastRead >= kReadInterval ? Step::Look : Step::Wait;
+    return now - m_lastRead >= kReadInterval ? Step::Poll : Step::Wait;
 }
 
-LeaseRecord LeaseKeeper::toWrite() const
+LeaseRecord LeaseElector::nextRecord() const
 {
     LeaseRecord record = m_seen;
     record.holder = m_options.self;
@@ -46,12 +46,12 @@
     return record;
 }
 
-void LeaseKeeper::setSlowTargets(std::vector<std::string> ids)
+void LeaseElector::setSlowTargets(std::vector<std::string> ids)
 {
     m_slowTargets = std::move(ids);
 }
 
-LeaseRecord LeaseKeeper::released() const
+LeaseRecord LeaseElector::releasedRecord() const
 {
     LeaseRecord record = m_seen;
     record.holder.clear();
@@ -59,7 +59,7 @@
     return record;
 }
 
-void LeaseKeeper::readDone(const LeaseRead &read, TimePoint now)
+void LeaseElector::handleRead(const LeaseRead &read, TimePoint now)
 {
     m_lastRead = now;
     if (read.error) {
@@ -73,14 +73,14 @@
     m_holding = m_holding && read.record.holder == m_options.self;
 }
 
-void LeaseKeeper::writeDone(const LeaseRead &written, TimePoint began, TimePoint now)
+void LeaseElector::handleWrite(const LeaseRead &written, TimePoint began, TimePoint now)
 {
     if (written.error) {
         m_known = false; // what the store holds must be read again: the write may have taken effect
         m_holding = m_holding && written.error != ResultCode::VersionConflict;
         return;
     }
-    const bool lapsed = began - m_renewed >= m_options.term && !mutated(Mutation::KeepTerm);
+    const bool lapsed = began - m_renewed >= m_options.leaseDuration && !mutated(Mutation::KeepTerm);
     if (!m_holding || lapsed) { // it had lapsed: somebody else may have held it meanwhile
         m_term = written.record.revision;
         m_slowTargets.reset();
@@ -91,7 +91,7 @@
     m_renewed = began;
 }
 
-void LeaseKeeper::yield(TimePoint until)
+void LeaseElector::standDown(TimePoint until)
 {
     m_holding = false;
     m_slowTargets.reset();
@@ -99,22 +99,22 @@
     m_yieldedUntil = until;
 }
 
-void LeaseKeeper::setPatience(Duration patience)
+void LeaseElector::setAcquireDelay(Duration acquireDelay)
 {
-    m_options.patience = patience;
+    m_options.acquireDelay = acquireDelay;
 }
 
-bool LeaseKeeper::holds(TimePoint now) const
+bool LeaseElector::holds(TimePoint now) const
 {
-    return m_holding && now - m_renewed < m_options.term;
+    return m_holding && now - m_renewed < m_options.leaseDuration;
 }
 
-std::uint64_t LeaseKeeper::termId() const
+std::uint64_t LeaseElector::termId() const
 {
     return m_term;
 }
 
-const LeaseRecord &LeaseKeeper::record() const
+const LeaseRecord &LeaseElector::record() const
 {
     return m_seen;
 }
--- a/fulmarlink/leasekeeper.h
+++ b/fulmarlink/leaseelector.h
@@ -16,10 +16,11 @@
      * A holder may act for so long after the beginning of its last renewal. A group whose owner has died or frozen has no map that fits until another
      * host takes over: 3 s instead of 1.8 s served 2 in 100 less on one site by 40 plays, and made no difference on two others.
      */
-    Duration term = std::chrono::milliseconds(1800);
-    Duration renewAfter = std::chrono::milliseconds(540); ///< leaves room for a renewal that the store leaves unanswered for 0.7 s
-    Duration takeAfter = std::chrono::milliseconds(2220); ///< the others wait for so long without a renewal; longer than the term by the drift of any clock
-    Duration patience{0}; ///< before it takes a lease that has lapsed or was left, so that hosts fit for the work come first
+    Duration leaseDuration = std::chrono::milliseconds(1800);
+    Duration renewInterval = std::chrono::milliseconds(540); ///< leaves room for a renewal that the store leaves unanswered for 0.7 s
+    Duration takeoverTimeout
+        = std::chrono::milliseconds(2220); ///< the others wait for so long without a renewal; longer than the term by the drift of any clock
+    Duration acquireDelay{0}; ///< before it takes a lease that has lapsed or was left, so that hosts fit for the work come first
 };
 
 /**
@@ -31,31 +32,31 @@
  *
  * Contract: pure; not thread-safe.
  */
-class LeaseKeeper
+class LeaseElector
 {
 public:
     enum class Step : std::uint8_t {
         Wait,
-        Write, ///< write the record that toWrite() gives
+        Write, ///< write the record that nextRecord() gives
         Read, ///< what the store holds now
-        Look, ///< a cheap read, to see whether the holder renews
+        Poll, ///< a cheap read, to see whether the holder renews
     };
 
-    explicit LeaseKeeper(LeaseOptions options);
+    explicit LeaseElector(LeaseOptions options);
 
     Step step(TimePoint now) const;
-    LeaseRecord toWrite() const;
-    void readDone(const LeaseRead &read, TimePoint now);
+    LeaseRecord nextRecord() const;
+    void handleRead(const LeaseRead &read, TimePoint now);
     /** @p began is when the write was sent. */
-    void writeDone(const LeaseRead &written, TimePoint began, TimePoint now);
+    void handleWrite(const LeaseRead &written, TimePoint began, TimePoint now);
     /** What the next records say of ranks that are slow; a change is written at once. */
     void setSlowTargets(std::vector<std::string> ids);
     /** What to write so that others may take over at once. */
-    LeaseRecord released() const;
+    LeaseRecord releasedRecord() const;
 
     /** The holder can't do its work: it leaves the lease and does not take it again before @p until. */
-    void yield(TimePoint until);
-    void setPatience(Duration patience);
+    void standDown(TimePoint until);
+    void setAcquireDelay(Duration acquireDelay);
     bool holds(TimePoint now) const;
     /** Unique to this term of holding; rises from holder to holder. */
     std::uint64_t termId() const;
--- /dev/null
+++ b/testing/demandshiftdetector_test.cpp
@@ -0,0 +1,105 @@
+// When a group's counts are worth reading. The load: a group of calm passes of 60 ms whose
+// demand turns every two to four seconds, after which a pass takes 150 ms and more.
+
+#include "fulmarlink/demandshiftdetector.h"
+
+#include <gtest/gtest.h>
+
+namespace fulmarlink::testing
+{
+
+namespace
+{
+
+using std::chrono::milliseconds;
+
+constexpr milliseconds kCalm(60);
+constexpr milliseconds kSlow(150);
+constexpr milliseconds kTarget(150);
+
+TimePoint at(milliseconds time)
+{
+    return TimePoint(std::chrono::seconds(100)) + time;
+}
+
+/** A group whose passes end every kCalm until the last calm end, with looks each 20 ms. */
+milliseconds playCalm(DemandShiftDetector &watch, milliseconds length)
+{
+    milliseconds lastEvent(0);
+    for (milliseconds now(0); now <= length; now += milliseconds(20)) {
+        lastEvent = now / kCalm * kCalm;
+        EXPECT_FALSE(watch.countsDue({kCalm, at(lastEvent), kTarget}, at(now))) << now.count();
+    }
+    return lastEvent;
+}
+
+} // namespace
+
+TEST(DemandShiftDetector, ASlowPassIsNoticedBeforeItEnds)
+{
+    DemandShiftDetector watch;
+    watch.restart(at(milliseconds(0)));
+    const milliseconds lastEvent = playCalm(watch, milliseconds(1200));
+    milliseconds now = lastEvent;
+    while (!watch.countsDue({kCalm, at(lastEvent), kTarget}, at(now)) && now < lastEvent + kSlow) {
+        now += milliseconds(20);
+    }
+    EXPECT_LE(now - lastEvent, milliseconds(110));
+}
+
+TEST(DemandShiftDetector, AGroupOfCalmPassesIsLeftAloneUntilTheLongestRest)
+{
+    DemandShiftDetector watch;
+    watch.restart(at(milliseconds(0)));
+    const milliseconds lastEvent = playCalm(watch, milliseconds(4980));
+    EXPECT_TRUE(watch.countsDue({kCalm, at(lastEvent + kCalm), kTarget}, at(milliseconds(5020))));
+}
+
+TEST(DemandShiftDetector, APauseFarBelowTheTargetNeedsNoSwitch)
+{
+    DemandShiftDetector watch;
+    watch.restart(at(milliseconds(0)));
+    EXPECT_FALSE(watch.countsDue({milliseconds(20), at(milliseconds(990)), kTarget}, at(milliseconds(1000))));
+    EXPECT_FALSE(watch.countsDue({milliseconds(40), at(milliseconds(990)), kTarget}, at(milliseconds(1100))));
+}
+
+TEST(DemandShiftDetector, SlowerMeansCountAsTurnedAndARestartForgetsThem)
+{
+    DemandShiftDetector watch;
+    watch.restart(at(milliseconds(0)));
+    playCalm(watch, milliseconds(1200));
+    EXPECT_TRUE(watch.countsDue({milliseconds(80), at(milliseconds(1210)), kTarget}, at(milliseconds(1220))));
+    watch.restart(at(milliseconds(1220)));
+    EXPECT_FALSE(watch.baselineInterval());
+    EXPECT_FALSE(watch.countsDue({milliseconds(80), at(milliseconds(1600)), kTarget}, at(milliseconds(1610))));
+}
+
+TEST(DemandShiftDetector, AHostWithoutStreamsLooksSeldom)
+{
+    DemandShiftDetector watch;
+    watch.restart(at(milliseconds(0)));
+    EXPECT_FALSE(watch.countsDue({std::nullopt, TimePoint{}, kTarget}, at(milliseconds(11'900))));
+    EXPECT_TRUE(watch.countsDue({std::nullopt, TimePoint{}, kTarget}, at(milliseconds(12'100))));
+}
+
+// The load: a group so full that every pass is late, with the right map and with the wrong
+// one; a turn then lengthens passes by less than kSlowdown.
+TEST(DemandShiftDetector, WhileStreamsAreLateTheCountsAreLookedAtSooner)
+{
+    DemandShiftDetector watch;
+    watch.restart(at(milliseconds(0)));
+    EXPECT_FALSE(watch.countsDue({milliseconds(170), at(milliseconds(390)), kTarget}, at(milliseconds(400))));
+    EXPECT_TRUE(watch.countsDue({milliseconds(180), at(milliseconds(1090)), kTarget}, at(milliseconds(1100))));
+}
+
+// The load: a rank works at a twelfth of its speed; the passes are far longer than any turn makes them.
+TEST(DemandShiftDetector, ATurnIsNotTakenForASlowRankNorTheOtherWayRound)
+{
+    using std::chrono::milliseconds;
+    EXPECT_FALSE(DemandShiftDetector::suggestsSlowRank(milliseconds(115), milliseconds(55)));
+    EXPECT_TRUE(DemandShiftDetector::suggestsSlowRank(milliseconds(740), milliseconds(60)));
+    EXPECT_FALSE(DemandShiftDetector::suggestsSlowRank(std::nullopt, milliseconds(60)));
+    EXPECT_FALSE(DemandShiftDetector::suggestsSlowRank(milliseconds(740), std::nullopt));
+}
+
+} // namespace fulmarlink::testing
--- a/testing/mapkeeper_test.cpp
+++ b/testing/expertmapcontroller_test.cpp
@@ -1,7 +1,7 @@
 // The owner of a group's map over a group in memory: a turn of demand is answered, a late
 // copy holds the group no longer than itself, a group that is still starting keeps its owner.
 
-#include "fulmarlink/mapkeeper.h"
+#include "fulmarlink/expertmapcontroller.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -24,7 +24,7 @@
 const std::vector<double> kEven(8, 1);
 const std::vector<double> kOneHot{30, 1, 1, 1, 1, 1, 1, 1};
 
-class MapKeeperTest : public ::testing::Test
+class ExpertMapControllerTest : public ::testing::Test
 {
 public:
     void start(FakeGroupOptions options)
@@ -56,7 +56,7 @@
         group->start([this](Duration length) {
             noteEvents(length);
         });
-        keeper = std::make_shared<MapKeeper>(context, *state, *group, "model", "g");
+        keeper = std::make_shared<ExpertMapController>(context, *state, *group, "model", "g");
         asio::co_spawn(context, keeper->run(), asio::detached);
     }
 
@@ -84,7 +84,7 @@
         return condition();
     }
 
-    ~MapKeeperTest() override
+    ~ExpertMapControllerTest() override
     {
         if (state) {
             state->drainBegan = clock.now();
@@ -101,12 +101,12 @@
     GatewaySettings settings;
     std::unique_ptr<GatewayState> state;
     std::unique_ptr<FakeGroup> group;
-    std::shared_ptr<MapKeeper> keeper;
+    std::shared_ptr<ExpertMapController> keeper;
 };
 
 } // namespace
 
-TEST_F(MapKeeperTest, ATurnOfDemandIsAnsweredAndNoPassHasTwoMaps)
+TEST_F(ExpertMapControllerTest, ATurnOfDemandIsAnsweredAndNoPassHasTwoMaps)
 {
     start({});
     context.run_for(1500ms);
@@ -122,7 +122,7 @@
 }
 
 // A group that has gone takes its keeper along; nothing of it may run on.
-TEST_F(MapKeeperTest, AKeeperThatHasEndedIsUsedByNobody)
+TEST_F(ExpertMapControllerTest, AKeeperThatHasEndedIsUsedByNobody)
 {
     start({});
     ASSERT_TRUE(runUntil(
@@ -143,7 +143,7 @@
 }
 
 // Counts cost the group time: a turn may take two looks at the sampled ranks and a third where a pass was short, and the switch none.
-TEST_F(MapKeeperTest, ATurnIsAnsweredWithFewCounts)
+TEST_F(ExpertMapControllerTest, ATurnIsAnsweredWithFewCounts)
 {
     start({});
     context.run_for(1500ms);
@@ -158,7 +158,7 @@
     EXPECT_FALSE(group->twoMaps);
 }
 
-TEST_F(MapKeeperTest, ACopyThatIsLateHoldsTheGroupNoLongerThanItself)
+TEST_F(ExpertMapControllerTest, ACopyThatIsLateHoldsTheGroupNoLongerThanItself)
 {
     FakeGroupOptions options;
     options.lateCopy = 100ms;
@@ -174,7 +174,7 @@
     EXPECT_EQ(group->reportsWhileHeld, 0U) << "reports are 0.28 s old: the group would stand for so long";
 }
 
-TEST_F(MapKeeperTest, AGroupThatIsStillStartingKeepsItsOwner)
+TEST_F(ExpertMapControllerTest, AGroupThatIsStillStartingKeepsItsOwner)
 {
     FakeGroupOptions options;
     options.listed = 2;
@@ -190,7 +190,7 @@
 }
 
 // The load: the owner's way to the store goes silent, demand turns right after it.
-TEST_F(MapKeeperTest, AnOwnerThatCantReachTheStoreGoesOnUntilItsTermEnds)
+TEST_F(ExpertMapControllerTest, AnOwnerThatCantReachTheStoreGoesOnUntilItsTermEnds)
 {
     start({});
     ASSERT_TRUE(runUntil(
@@ -209,7 +209,7 @@
 }
 
 // The load: a zone's callers move to another zone while the group works on.
-TEST_F(MapKeeperTest, AnOwnerWithoutStreamsLeavesTheLeaseToAHostThatHasSome)
+TEST_F(ExpertMapControllerTest, AnOwnerWithoutStreamsLeavesTheLeaseToAHostThatHasSome)
 {
     start({});
     ASSERT_TRUE(runUntil(
@@ -228,7 +228,7 @@
 }
 
 // The load: one rank works at an eighth of its speed, and the whole group waits for it.
-TEST_F(MapKeeperTest, ASlowRankIsEmptiedMadeKnownAndTakenBack)
+TEST_F(ExpertMapControllerTest, ASlowRankIsEmptiedMadeKnownAndTakenBack)
 {
     start({});
     context.run_for(1500ms);
@@ -255,7 +255,7 @@
 }
 
 // The load: a rank so slow that a pass takes over half a second, which looks like a standstill.
-TEST_F(MapKeeperTest, AGroupOfVeryLongPassesIsStillLookedAfter)
+TEST_F(ExpertMapControllerTest, AGroupOfVeryLongPassesIsStillLookedAfter)
 {
     start({});
     context.run_for(1500ms);
--- a/testing/gatewaymutation_test.cpp
+++ b/testing/gatewaymutation_test.cpp
@@ -6,13 +6,13 @@
 #include "fulmarlink/attemptpolicy.h"
 #include "fulmarlink/configstate.h"
 #include "fulmarlink/crashhistory.h"
+#include "fulmarlink/demandshiftdetector.h"
 #include "fulmarlink/eventsplitter.h"
 #include "fulmarlink/expertload.h"
 #include "fulmarlink/expertplanner.h"
 #include "fulmarlink/gatewaystate.h"
 #include "fulmarlink/hostclock.h"
-#include "fulmarlink/leasekeeper.h"
-#include "fulmarlink/pacewatch.h"
+#include "fulmarlink/leaseelector.h"
 #include "fulmarlink/poolgate.h"
 #include "fulmarlink/rankgroups.h"
 #include "fulmarlink/targettable.h"
@@ -104,13 +104,13 @@
 
 bool aLapsedTermEnds()
 {
-    LeaseKeeper keeper(LeaseOptions{.self = "a"});
-    keeper.readDone({}, at(0));
-    LeaseRecord record = keeper.toWrite();
+    LeaseElector keeper(LeaseOptions{.self = "a"});
+    keeper.handleRead({}, at(0));
+    LeaseRecord record = keeper.nextRecord();
     record.revision = 1;
-    keeper.writeDone({{}, record}, at(0), at(1));
+    keeper.handleWrite({{}, record}, at(0), at(1));
     record.revision = 2;
-    keeper.writeDone({{}, record}, at(20'000), at(20'001));
+    keeper.handleWrite({{}, record}, at(20'000), at(20'001));
     return keeper.termId() == 2;
 }
 
@@ -162,23 +162,23 @@
 
 bool slowRanksAreMadeKnown()
 {
-    LeaseKeeper keeper(LeaseOptions{.self = "a"});
-    keeper.readDone({}, at(0));
-    LeaseRecord record = keeper.toWrite();
+    LeaseElector keeper(LeaseOptions{.self = "a"});
+    keeper.handleRead({}, at(0));
+    LeaseRecord record = keeper.nextRecord();
     record.revision = 1;
-    keeper.writeDone({{}, record}, at(0), at(1));
+    keeper.handleWrite({{}, record}, at(0), at(1));
     keeper.setSlowTargets({"rank-1"});
-    return keeper.toWrite().slowTargets.size() == 1;
+    return keeper.nextRecord().slowTargets.size() == 1;
 }
 
 bool slowPassesAreNoticedEarly()
 {
-    PaceWatch watch;
+    DemandShiftDetector watch;
     const auto pause = std::chrono::milliseconds(60);
     const auto target = std::chrono::milliseconds(150);
     watch.restart(at(0));
-    watch.turned({pause, at(1000), target}, at(1010));
-    return watch.turned({pause, at(1000), target}, at(1100));
+    watch.countsDue({pause, at(1000), target}, at(1010));
+    return watch.countsDue({pause, at(1000), target}, at(1100));
 }
 
 bool slowGroupsGetLess()
--- a/testing/leasekeeper_test.cpp
+++ b/testing/leaseelector_test.cpp
@@ -1,6 +1,6 @@
 // The lease of a pool's maps, over a store that a test plays.
 
-#include "fulmarlink/leasekeeper.h"
+#include "fulmarlink/leaseelector.h"
 
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
 {
 
 using std::chrono::milliseconds;
-using Step = LeaseKeeper::Step;
+using Step = LeaseElector::Step;
 
 TimePoint at(int ms)
 {
@@ -41,31 +41,31 @@
     }
 };
 
-LeaseKeeper keeper(const std::string &name)
+LeaseElector keeper(const std::string &name)
 {
-    return LeaseKeeper(LeaseOptions{.self = name});
+    return LeaseElector(LeaseOptions{.self = name});
 }
 
 /** One step of a keeper against the store. */
-void act(LeaseKeeper &keeper, Store &store, int ms)
+void act(LeaseElector &keeper, Store &store, int ms)
 {
     const Step step = keeper.step(at(ms));
     if (step == Step::Write) {
-        keeper.writeDone(store.write(keeper.toWrite()), at(ms), at(ms));
+        keeper.handleWrite(store.write(keeper.nextRecord()), at(ms), at(ms));
     } else if (step != Step::Wait) {
-        keeper.readDone(store.read(), at(ms));
+        keeper.handleRead(store.read(), at(ms));
     }
 }
 
 } // namespace
 
-TEST(LeaseKeeper, OneOfManyTakesItAndKeepsIt)
+TEST(LeaseElector, OneOfManyTakesItAndKeepsIt)
 {
     Store store;
-    std::vector<LeaseKeeper> keepers = {keeper("a"), keeper("b"), keeper("c")};
+    std::vector<LeaseElector> keepers = {keeper("a"), keeper("b"), keeper("c")};
     for (int ms = 0; ms < 20'000; ms += 100) {
         unsigned holders = 0;
-        for (LeaseKeeper &one : keepers) {
+        for (LeaseElector &one : keepers) {
             act(one, store, ms);
             holders += one.holds(at(ms)) ? 1 : 0;
         }
@@ -77,11 +77,11 @@
     EXPECT_EQ(store.record.holder, "a");
 }
 
-TEST(LeaseKeeper, ASilentHolderIsReplacedAfterItsOwnClockHasEndedIt)
+TEST(LeaseElector, ASilentHolderIsReplacedAfterItsOwnClockHasEndedIt)
 {
     Store store;
-    LeaseKeeper a = keeper("a");
-    LeaseKeeper b = keeper("b");
+    LeaseElector a = keeper("a");
+    LeaseElector b = keeper("b");
     act(a, store, 0);
     act(a, store, 1);
     act(b, store, 2);
@@ -97,10 +97,10 @@
     EXPECT_FALSE(a.holds(at(taken + 100)));
 }
 
-TEST(LeaseKeeper, ALapsedLeaseBeginsANewTerm)
+TEST(LeaseElector, ALapsedLeaseBeginsANewTerm)
 {
     Store store;
-    LeaseKeeper a = keeper("a");
+    LeaseElector a = keeper("a");
     act(a, store, 0);
     act(a, store, 1);
     const std::uint64_t term = a.termId();
@@ -111,14 +111,14 @@
     EXPECT_GT(a.termId(), term);
 }
 
-TEST(LeaseKeeper, AnAnswerThatWasLostIsReadBackBeforeItIsTrusted)
+TEST(LeaseElector, AnAnswerThatWasLostIsReadBackBeforeItIsTrusted)
 {
     Store store;
-    LeaseKeeper a = keeper("a");
+    LeaseElector a = keeper("a");
     act(a, store, 0);
     ASSERT_EQ(a.step(at(1)), Step::Write);
-    store.write(a.toWrite()); // it took effect
-    a.writeDone({ResultCode::StoreAnswerLost, {}}, at(1), at(400));
+    store.write(a.nextRecord()); // it took effect
+    a.handleWrite({ResultCode::StoreAnswerLost, {}}, at(1), at(400));
     EXPECT_FALSE(a.holds(at(400)));
     EXPECT_EQ(a.step(at(401)), Step::Read);
     act(a, store, 401);
@@ -126,59 +126,59 @@
     EXPECT_TRUE(a.holds(at(403)));
 }
 
-TEST(LeaseKeeper, AHolderThatYieldsDoesNotTakeItBackAtOnce)
+TEST(LeaseElector, AHolderThatYieldsDoesNotTakeItBackAtOnce)
 {
     Store store;
-    LeaseKeeper a = keeper("a");
+    LeaseElector a = keeper("a");
     act(a, store, 0);
     act(a, store, 1);
-    const LeaseRecord released = a.released();
-    a.yield(at(4000));
+    const LeaseRecord released = a.releasedRecord();
+    a.standDown(at(4000));
     store.write(released);
     for (int ms = 100; ms < 4000; ms += 100) {
         act(a, store, ms);
         EXPECT_FALSE(a.holds(at(ms)));
     }
-    LeaseKeeper b = keeper("b");
+    LeaseElector b = keeper("b");
     act(b, store, 4000);
     act(b, store, 4001);
     EXPECT_TRUE(b.holds(at(4002)));
 }
 
-TEST(LeaseKeeper, AHostThatIsLessFitForTheWorkLetsOthersComeFirst)
+TEST(LeaseElector, AHostThatIsLessFitForTheWorkLetsOthersComeFirst)
 {
     Store store;
-    LeaseKeeper slow(LeaseOptions{.self = "slow", .patience = milliseconds(1000)});
-    LeaseKeeper fast(LeaseOptions{.self = "fast", .patience = milliseconds(100)});
+    LeaseElector slow(LeaseOptions{.self = "slow", .acquireDelay = milliseconds(1000)});
+    LeaseElector fast(LeaseOptions{.self = "fast", .acquireDelay = milliseconds(100)});
     for (int ms = 0; ms < 2000; ms += 50) {
         act(slow, store, ms);
         act(fast, store, ms);
     }
     EXPECT_TRUE(fast.holds(at(2000)));
     EXPECT_FALSE(slow.holds(at(2000)));
-    store.write(fast.released()); // it leaves, and nobody else comes
+    store.write(fast.releasedRecord()); // it leaves, and nobody else comes
     for (int ms = 2000; ms < 4000; ms += 50) {
         act(slow, store, ms);
     }
     EXPECT_TRUE(slow.holds(at(4000)));
 }
 
-TEST(LeaseKeeper, WhatTheHolderKnowsOfSlowRanksIsWrittenAtOnceAndOutlivesIt)
+TEST(LeaseElector, WhatTheHolderKnowsOfSlowRanksIsWrittenAtOnceAndOutlivesIt)
 {
     Store store;
-    LeaseKeeper a = keeper("a");
+    LeaseElector a = keeper("a");
     act(a, store, 0);
     act(a, store, 10);
     ASSERT_TRUE(a.holds(at(20)));
-    const LeaseRecord underWay = a.toWrite();
+    const LeaseRecord underWay = a.nextRecord();
     a.setSlowTargets({"rank-2"});
-    a.writeDone(store.write(underWay), at(20), at(30)); // a renewal that was sent before does not hide it
+    a.handleWrite(store.write(underWay), at(20), at(30)); // a renewal that was sent before does not hide it
     EXPECT_EQ(a.step(at(40)), Step::Write);
     act(a, store, 40);
     EXPECT_EQ(store.record.slowTargets, std::vector<std::string>{"rank-2"});
     EXPECT_EQ(a.step(at(50)), Step::Wait);
-    store.write(a.released());
-    LeaseKeeper b = keeper("b");
+    store.write(a.releasedRecord());
+    LeaseElector b = keeper("b");
     act(b, store, 100);
     act(b, store, 110);
     EXPECT_TRUE(b.holds(at(120)));
