--- a/fulmarlink/gateway.cpp
+++ b/fulmarlink/gateway.cpp
@@ -336,11 +336,11 @@
     for (;;) {
         co_await sleep(kHousekeeping);
         m_connections.sweep(m_state.targets);
-        m_signalWatch.sweep();
+        m_signalWatch.expireBackoffs();
         if (m_clock.now() - m_droppedGone >= kDropGone) {
             m_droppedGone = m_clock.now();
             m_limitWatch.removeUnlistedRunners();
-            m_signalWatch.dropGone();
+            m_signalWatch.removeUnlistedRunners();
         }
         m_counters.set(m_requestsNow, m_state.exchanges);
         m_counters.set(m_proofAge, static_cast<std::uint64_t>(m_state.config.age(m_clock.now()).count() / 1000));
--- a/fulmarlink/gatewayattempt.cpp
+++ b/fulmarlink/gatewayattempt.cpp
@@ -38,7 +38,7 @@
     }
     m_state.targets.ended(target.id);
     if (error) {
-        m_state.attempts.ended(m_attempt, RunnerAttempts::End::Known, m_state.clock.now());
+        m_state.attempts.recordEnd(m_attempt, RunnerAttempts::Outcome::Resolved, m_state.clock.now());
         std::rethrow_exception(error);
     }
     noteAttempt(target, end, began);
@@ -47,13 +47,13 @@
 
 /** The one place where requests go out to runners: first sends, repeats, resumed streams and trials alike. What the runner said while a connection was opened
  * counts too. */
-RunnerObstacle GatewayExchange::takeRoom(const TargetInfo &target)
+RunnerExclusion GatewayExchange::takeRoom(const TargetInfo &target)
 {
     const unsigned own = m_state.targets.ownRequests(target.id); // this request included
-    const RunnerObstacle found = m_state.signals.take({target.id, target.born}, own - std::min(own, 1U), m_state.clock.now());
-    if (found == RunnerObstacle::Limited) {
+    const RunnerExclusion found = m_state.signals.reserveSend({target.id, target.born}, own - std::min(own, 1U), m_state.clock.now());
+    if (found == RunnerExclusion::RateLimited) {
         m_state.counters.add(m_state.limitedSends);
-    } else if (found != RunnerObstacle::None) {
+    } else if (found != RunnerExclusion::None) {
         m_state.counters.add(m_state.backoffSends);
     }
     return found;
@@ -70,8 +70,8 @@
         m_reason = "leaving";
         connection->idleLimit = TargetConnections::kDefaultIdle;
         m_state.connections->release(connection);
-    } else if (const RunnerObstacle found = takeRoom(target); found != RunnerObstacle::None) {
-        m_reason = runnerObstacleName(found);
+    } else if (const RunnerExclusion found = takeRoom(target); found != RunnerExclusion::None) {
+        m_reason = runnerExclusionName(found);
         connection->idleLimit = TargetConnections::kDefaultIdle;
         m_state.connections->release(connection);
     } else {
@@ -82,7 +82,7 @@
         m_cut = false;
         m_runnerEnded = false;
         m_eventsBefore = m_events.events();
-        m_attempt = m_state.attempts.sent({target.id, target.born}, suspect());
+        m_attempt = m_state.attempts.add({target.id, target.born}, suspect());
         m_attemptSent = m_state.clock.now();
         m_backoff.reset();
         m_toldLoad.reset();
--- a/fulmarlink/gatewaycrashes.cpp
+++ b/fulmarlink/gatewaycrashes.cpp
@@ -60,7 +60,7 @@
 {
     const TimePoint now = m_state.clock.now();
     const bool broken = end == AttemptEnd::Broken && !m_gone;
-    m_state.attempts.ended(m_attempt, broken ? RunnerAttempts::End::BrokenOff : RunnerAttempts::End::Known, now);
+    m_state.attempts.recordEnd(m_attempt, broken ? RunnerAttempts::Outcome::Broken : RunnerAttempts::Outcome::Resolved, now);
     if (end == AttemptEnd::Answered || end == AttemptEnd::Failed) {
         m_state.crashes.requestCompleted(m_fingerprint, now);
     }
--- a/fulmarlink/gatewayexchange.h
+++ b/fulmarlink/gatewayexchange.h
@@ -67,7 +67,7 @@
     PoolGate &gate();
     boost::asio::awaitable<AttemptEnd> attempt(const TargetInfo &target);
     boost::asio::awaitable<AttemptEnd> sendTo(const TargetInfo &target);
-    RunnerObstacle takeRoom(const TargetInfo &target);
+    RunnerExclusion takeRoom(const TargetInfo &target);
     boost::asio::awaitable<bool> write(TargetConnection &connection, const TargetInfo &target);
     boost::asio::awaitable<AttemptEnd> readAnswer(TargetConnection &connection, const TargetInfo &target);
     boost::asio::awaitable<boost::system::error_code> readHead(TargetConnection &connection, std::unique_ptr<AnswerParser> &parser);
--- a/fulmarlink/gatewayrelay.cpp
+++ b/fulmarlink/gatewayrelay.cpp
@@ -148,7 +148,7 @@
         const auto &head = parser->get();
         const RunnerAnswer answer = m_state.protocol.readAnswer(head.result_int(), head);
         connection.idleLimit = answer.keepAlive ? Duration(*answer.keepAlive) - TargetConnections::kIdleMargin : TargetConnections::kDefaultIdle;
-        m_state.signalWatch->answered(target, answer, m_facts.attemptId);
+        m_state.signalWatch->handleAnswer(target, answer, m_facts.attemptId);
         const bool foreignAnswer = !answer.attemptId.empty() && answer.attemptId != m_facts.attemptId;
         if (foreignAnswer && !mutated(Mutation::TrustForeignAnswer)) {
             std::string dropped;
@@ -182,7 +182,7 @@
             co_return AttemptEnd::Broken;
         }
         gate().answerSeen(now);
-        m_state.signals.accepted({target.id, target.born}, m_attemptSent, target.slots);
+        m_state.signals.recordAccepted({target.id, target.born}, m_attemptSent, target.slots);
         m_state.targets.took(target.id);
         m_state.targets.heard(target.id, now);
         const bool stream = m_route.streaming && head.result_int() == 200 && isEventStream(head);
@@ -311,7 +311,7 @@
     PoolGate &gate = this->gate();
     gate.answerSeen(now);
     m_state.targets.heard(m_target, now);
-    m_state.attempts.answering(m_attempt);
+    m_state.attempts.markAnswering(m_attempt);
     const bool first = m_firstEvent == TimePoint{};
     const Duration pause = first ? now - m_arrived : now - m_lastEvent;
     const Duration target = first ? m_route.objective : m_route.gapTarget;
--- a/fulmarlink/groupwatch.cpp
+++ b/fulmarlink/groupwatch.cpp
@@ -73,7 +73,7 @@
     std::vector<TargetInfo> listed = m_state.targets.listed(m_pool);
     const TimePoint now = m_state.clock.now();
     std::erase_if(listed, [&](const TargetInfo &target) {
-        return m_state.signals.obstacle({target.id, target.born}, 0, now) == RunnerObstacle::BackingOff;
+        return m_state.signals.exclusion({target.id, target.born}, 0, now) == RunnerExclusion::BackingOff;
     });
     if (now - m_readAll >= kReadAll) {
         m_readAll = now;
--- a/fulmarlink/guardedplatform.cpp
+++ b/fulmarlink/guardedplatform.cpp
@@ -119,7 +119,7 @@
     return guarded(m_platform->removeLimitRecord(std::move(life)), "remove-limit-record");
 }
 
-void GuardedPlatform::setRunnerListener(RunnerListener *listener)
+void GuardedPlatform::setRunnerListener(RunnerAnswerObserver *listener)
 {
     m_platform->setRunnerListener(listener);
 }
--- a/fulmarlink/platform.h
+++ b/fulmarlink/platform.h
@@ -18,7 +18,7 @@
 namespace fulmarlink
 {
 
-class RunnerListener;
+class RunnerAnswerObserver;
 
 /** The operator's configuration as read at one time. */
 struct ConfigurationRead {
@@ -99,7 +99,7 @@
     virtual boost::asio::awaitable<std::error_code> removeLimitRecord(TargetIncarnation life) = 0;
 
     /** Told of the head of each answer of a runner to the calls below; outlives this, null: nobody. */
-    virtual void setRunnerListener(RunnerListener *listener) = 0;
+    virtual void setRunnerListener(RunnerAnswerObserver *listener) = 0;
     virtual boost::asio::awaitable<RankReportRead> readRankReport(TargetInfo target) = 0;
     virtual boost::asio::awaitable<ExpertCountsRead> readExpertCounts(TargetInfo target, unsigned layerSets) = 0;
     virtual boost::asio::awaitable<RankPlacementRead> readRankPlacement(TargetInfo target) = 0;
--- a/fulmarlink/runnerlistener.h
+++ b/fulmarlink/runneranswerobserver.h
@@ -9,12 +9,12 @@
 struct TargetInfo;
 
 /** Hears what the head of each answer says of the runner that gave it, whatever was asked. */
-class RunnerListener
+class RunnerAnswerObserver
 {
 public:
-    virtual ~RunnerListener() = default;
+    virtual ~RunnerAnswerObserver() = default;
     /** @p source: the attempt or the kind of call that was answered, for the log. */
-    virtual void answered(const TargetInfo &target, const RunnerAnswer &answer, const std::string &source) = 0;
+    virtual void handleAnswer(const TargetInfo &target, const RunnerAnswer &answer, const std::string &source) = 0;
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/runnerattempts.cpp
+++ b/fulmarlink/runnerattempts.cpp
@@ -5,13 +5,13 @@
 namespace fulmarlink
 {
 
-RunnerAttempts::Token RunnerAttempts::sent(const TargetIncarnation &life, CrashSuspect suspect)
+RunnerAttempts::Token RunnerAttempts::add(const TargetIncarnation &life, CrashSuspect suspect)
 {
     m_attempts.emplace(++m_last, Attempt{life, std::move(suspect)});
     return m_last;
 }
 
-void RunnerAttempts::answering(Token token)
+void RunnerAttempts::markAnswering(Token token)
 {
     const auto it = m_attempts.find(token);
     if (it != m_attempts.end()) {
@@ -19,13 +19,13 @@
     }
 }
 
-void RunnerAttempts::ended(Token token, End end, TimePoint now)
+void RunnerAttempts::recordEnd(Token token, Outcome outcome, TimePoint now)
 {
     const auto it = m_attempts.find(token);
     if (it == m_attempts.end()) {
         return;
     }
-    if (end == End::Known || it->second.taken) {
+    if (outcome == Outcome::Resolved || it->second.taken) {
         m_attempts.erase(it);
     } else {
         it->second.inProgress = false;
@@ -37,7 +37,7 @@
 void RunnerAttempts::forgetOld(TimePoint now)
 {
     std::erase_if(m_attempts, [now](const auto &entry) {
-        return !entry.second.inProgress && now - entry.second.endedAt > kRemember;
+        return !entry.second.inProgress && now - entry.second.endedAt > kRetention;
     });
 }
 
--- a/fulmarlink/runnerattempts.h
+++ b/fulmarlink/runnerattempts.h
@@ -21,18 +21,18 @@
 public:
     using Token = std::uint64_t;
     /** A runner's end is noticed at the latest when its entry lapses or shows a new start: three heartbeats of 1.2 s and one reading of the list. */
-    static constexpr Duration kRemember = std::chrono::seconds(5);
+    static constexpr Duration kRetention = std::chrono::seconds(5);
 
     /** How an attempt ended. */
-    enum class End : std::uint8_t {
-        Known, ///< answered, refused, or its caller left: the runner's end later is none of its doing
-        BrokenOff, ///< without a word of the runner
+    enum class Outcome : std::uint8_t {
+        Resolved, ///< answered, refused, or its caller left: the runner's end later is none of its doing
+        Broken, ///< without a word of the runner
     };
 
-    Token sent(const TargetIncarnation &life, CrashSuspect suspect);
+    Token add(const TargetIncarnation &life, CrashSuspect suspect);
     /** The first event of its answer has come. */
-    void answering(Token token);
-    void ended(Token token, End end, TimePoint now);
+    void markAnswering(Token token);
+    void recordEnd(Token token, Outcome outcome, TimePoint now);
 
     bool anyInProgress(const TargetIncarnation &life) const;
     /** Those in progress at @p life and those that broke off there lately; they are given once. */
--- a/fulmarlink/runnerbackoff.cpp
+++ b/fulmarlink/runnerbackoff.cpp
@@ -15,7 +15,7 @@
     return true;
 }
 
-void RunnerBackoff::accepted(TimePoint sent, unsigned slots)
+void RunnerBackoff::recordAccepted(TimePoint sent, unsigned slots)
 {
     if (m_window == 0 || (sent < m_until && !mutated(Mutation::EndBackoffByOldAnswer))) {
         return;
@@ -26,7 +26,7 @@
     m_window = m_window >= slots ? 0 : m_window * 2;
 }
 
-bool RunnerBackoff::backsOff(TimePoint now) const
+bool RunnerBackoff::isBackingOff(TimePoint now) const
 {
     return now < m_until;
 }
@@ -36,9 +36,9 @@
     return m_window > 0;
 }
 
-bool RunnerBackoff::mayOpen(unsigned open, TimePoint now) const
+bool RunnerBackoff::maySend(unsigned open, TimePoint now) const
 {
-    if (backsOff(now)) {
+    if (isBackingOff(now)) {
         return false;
     }
     return m_window == 0 || open < m_window || mutated(Mutation::SkipSlowStart);
--- a/fulmarlink/runnerbackoff.h
+++ b/fulmarlink/runnerbackoff.h
@@ -21,13 +21,13 @@
     /** False if it already lasts that long. */
     bool extend(TimePoint until);
     /** The runner has begun to answer a request that was sent at @p sent. */
-    void accepted(TimePoint sent, unsigned slots);
+    void recordAccepted(TimePoint sent, unsigned slots);
 
-    bool backsOff(TimePoint now) const;
+    bool isBackingOff(TimePoint now) const;
     /** Slow start goes on; also true while it backs off. */
     bool active() const;
     /** Whether another request may be sent while @p open of this host's are open there. */
-    bool mayOpen(unsigned open, TimePoint now) const;
+    bool maySend(unsigned open, TimePoint now) const;
     TimePoint until() const;
 
 private:
--- a/fulmarlink/runnersignals.cpp
+++ b/fulmarlink/runnersignals.cpp
@@ -7,18 +7,18 @@
 namespace fulmarlink
 {
 
-std::string_view runnerObstacleName(RunnerObstacle obstacle)
+std::string_view runnerExclusionName(RunnerExclusion exclusion)
 {
-    switch (obstacle) {
-    case RunnerObstacle::None:
+    switch (exclusion) {
+    case RunnerExclusion::None:
         return "none";
-    case RunnerObstacle::Leaving:
+    case RunnerExclusion::Leaving:
         return "leaving";
-    case RunnerObstacle::BackingOff:
+    case RunnerExclusion::BackingOff:
         return "backing-off";
-    case RunnerObstacle::SlowStart:
+    case RunnerExclusion::SlowStart:
         return "slow-start";
-    case RunnerObstacle::Limited:
+    case RunnerExclusion::RateLimited:
         return "limited";
     }
     return "none";
@@ -33,35 +33,35 @@
     return &m_signals[life];
 }
 
-bool RunnerSignals::backOff(const TargetIncarnation &life, Duration asked, Duration spread, const std::string &attempt, TimePoint now)
+bool RunnerSignals::recordBackoff(const TargetIncarnation &life, Duration asked, Duration spread, const std::string &attempt, TimePoint now)
 {
     Signal *signal = add(life);
     if (signal == nullptr) {
         return false;
     }
-    if (!signal->requested) {
+    if (!signal->hasRequest) {
         signal->request = BackoffRequest();
         signal->request.since = now;
-        signal->requested = true;
+        signal->hasRequest = true;
     }
-    ++signal->request.refused;
+    ++signal->request.refusedAttempts;
     const bool extended = signal->backoff.extend(now + asked + spread);
     if (extended) {
-        signal->request.asked = asked;
+        signal->request.duration = asked;
         signal->request.source = attempt;
     }
     return extended;
 }
 
-void RunnerSignals::accepted(const TargetIncarnation &life, TimePoint sent, unsigned slots)
+void RunnerSignals::recordAccepted(const TargetIncarnation &life, TimePoint sent, unsigned slots)
 {
     const auto it = m_signals.find(life);
     if (it != m_signals.end()) {
-        it->second.backoff.accepted(sent, slots);
+        it->second.backoff.recordAccepted(sent, slots);
     }
 }
 
-bool RunnerSignals::leaving(const TargetIncarnation &life)
+bool RunnerSignals::markLeaving(const TargetIncarnation &life)
 {
     Signal *signal = add(life);
     const bool news = signal != nullptr && !signal->leaving;
@@ -76,30 +76,30 @@
     m_signals.erase(life);
 }
 
-RunnerObstacle RunnerSignals::obstacle(const TargetIncarnation &life, unsigned open, TimePoint now) const
+RunnerExclusion RunnerSignals::exclusion(const TargetIncarnation &life, unsigned open, TimePoint now) const
 {
     const auto it = m_signals.find(life);
     if (it != m_signals.end()) {
         if (it->second.leaving && !mutated(Mutation::IgnoreLeavingAnswer)) {
-            return RunnerObstacle::Leaving;
+            return RunnerExclusion::Leaving;
         }
-        if (!it->second.backoff.mayOpen(open, now) && !mutated(Mutation::IgnoreBackoff)) {
-            return it->second.backoff.backsOff(now) ? RunnerObstacle::BackingOff : RunnerObstacle::SlowStart;
+        if (!it->second.backoff.maySend(open, now) && !mutated(Mutation::IgnoreBackoff)) {
+            return it->second.backoff.isBackingOff(now) ? RunnerExclusion::BackingOff : RunnerExclusion::SlowStart;
         }
     }
-    return !pacer.hasLimits() || pacer.canSend(life, now) ? RunnerObstacle::None : RunnerObstacle::Limited;
+    return !pacer.hasLimits() || pacer.canSend(life, now) ? RunnerExclusion::None : RunnerExclusion::RateLimited;
 }
 
-RunnerObstacle RunnerSignals::take(const TargetIncarnation &life, unsigned open, TimePoint now)
+RunnerExclusion RunnerSignals::reserveSend(const TargetIncarnation &life, unsigned open, TimePoint now)
 {
-    const RunnerObstacle found = obstacle(life, open, now);
-    if (found != RunnerObstacle::None) {
+    const RunnerExclusion found = exclusion(life, open, now);
+    if (found != RunnerExclusion::None) {
         return found;
     }
-    return pacer.tryAcquire(life, now) ? RunnerObstacle::None : RunnerObstacle::Limited;
+    return pacer.tryAcquire(life, now) ? RunnerExclusion::None : RunnerExclusion::RateLimited;
 }
 
-std::optional<TimePoint> RunnerSignals::nextRoom(const TargetIncarnation &life, TimePoint now) const
+std::optional<TimePoint> RunnerSignals::nextSendTime(const TargetIncarnation &life, TimePoint now) const
 {
     const auto it = m_signals.find(life);
     if (it != m_signals.end() && it->second.leaving) {
@@ -121,30 +121,30 @@
 bool RunnerSignals::inSlowStart(const TargetIncarnation &life, TimePoint now) const
 {
     const auto it = m_signals.find(life);
-    return it != m_signals.end() && it->second.backoff.active() && !it->second.backoff.backsOff(now);
+    return it != m_signals.end() && it->second.backoff.active() && !it->second.backoff.isBackingOff(now);
 }
 
-const BackoffRequest *RunnerSignals::backoff(const TargetIncarnation &life) const
+const BackoffRequest *RunnerSignals::activeBackoff(const TargetIncarnation &life) const
 {
     const auto it = m_signals.find(life);
-    return it == m_signals.end() || !it->second.requested ? nullptr : &it->second.request;
+    return it == m_signals.end() || !it->second.hasRequest ? nullptr : &it->second.request;
 }
 
-std::size_t RunnerSignals::backingOff(TimePoint now) const
+std::size_t RunnerSignals::backingOffCount(TimePoint now) const
 {
     return static_cast<std::size_t>(std::ranges::count_if(m_signals, [now](const auto &entry) {
-        return entry.second.backoff.backsOff(now);
+        return entry.second.backoff.isBackingOff(now);
     }));
 }
 
-std::map<TargetIncarnation, BackoffRequest> RunnerSignals::takeEnded(TimePoint now)
+std::map<TargetIncarnation, BackoffRequest> RunnerSignals::takeExpiredBackoffs(TimePoint now)
 {
     std::map<TargetIncarnation, BackoffRequest> result;
     for (auto it = m_signals.begin(); it != m_signals.end();) {
         Signal &signal = it->second;
-        if (signal.requested && !signal.backoff.backsOff(now)) {
+        if (signal.hasRequest && !signal.backoff.isBackingOff(now)) {
             result.emplace(it->first, signal.request);
-            signal.requested = false;
+            signal.hasRequest = false;
         }
         const bool empty = !signal.leaving && !signal.backoff.active();
         it = empty ? m_signals.erase(it) : std::next(it);
--- a/fulmarlink/runnersignals.h
+++ b/fulmarlink/runnersignals.h
@@ -15,22 +15,22 @@
 {
 
 /** Why a listed runner gets no request from this host now, by its own word. */
-enum class RunnerObstacle : std::uint8_t {
+enum class RunnerExclusion : std::uint8_t {
     None,
     Leaving, ///< it is about to end
     BackingOff, ///< it wants nothing from this host for some time
     SlowStart, ///< that time is over, and enough requests are open there for now
-    Limited, ///< this host has used its part of the requests a second that the runner takes from all hosts
+    RateLimited, ///< this host has used its part of the requests a second that the runner takes from all hosts
 };
 
-std::string_view runnerObstacleName(RunnerObstacle obstacle);
+std::string_view runnerExclusionName(RunnerExclusion exclusion);
 
 /** That a runner asked this host to back off, for the log. */
 struct BackoffRequest {
-    Duration asked{0};
+    Duration duration{0};
     TimePoint since{}; ///< the first one of an unbroken row
     std::string source; ///< the attempt that was refused last
-    unsigned refused = 0; ///< attempts in that row
+    unsigned refusedAttempts = 0; ///< attempts in that row
 };
 
 /**
@@ -38,7 +38,7 @@
  * are leaving, for how long they want none, and how many a second they take from all hosts.
  *
  * The one place that is asked before a request goes out; a further signal is a field here and
- * a rule in obstacle(). All is kept by life: a runner that has started again has said nothing.
+ * a rule in exclusion(). All is kept by life: a runner that has started again has said nothing.
  *
  * Contract: pure; not thread-safe; O(log n) in the runners that have told anything.
  */
@@ -48,28 +48,28 @@
     static constexpr std::size_t kMaxLives = 4096; ///< a fleet has some hundred runners
 
     /** @p spread: how much later than @p asked this host begins again. False if it backs off for that long already. */
-    bool backOff(const TargetIncarnation &life, Duration asked, Duration spread, const std::string &attempt, TimePoint now);
+    bool recordBackoff(const TargetIncarnation &life, Duration asked, Duration spread, const std::string &attempt, TimePoint now);
     /** The runner has begun to answer a request that was sent at @p sent. */
-    void accepted(const TargetIncarnation &life, TimePoint sent, unsigned slots);
+    void recordAccepted(const TargetIncarnation &life, TimePoint sent, unsigned slots);
     /** False if that was known. */
-    bool leaving(const TargetIncarnation &life);
+    bool markLeaving(const TargetIncarnation &life);
     void forget(const TargetIncarnation &life);
 
     /** @p open: this host's requests there. */
-    RunnerObstacle obstacle(const TargetIncarnation &life, unsigned open, TimePoint now) const;
+    RunnerExclusion exclusion(const TargetIncarnation &life, unsigned open, TimePoint now) const;
     /** The same for a request that goes out now, and uses up the room that it takes. */
-    RunnerObstacle take(const TargetIncarnation &life, unsigned open, TimePoint now);
+    RunnerExclusion reserveSend(const TargetIncarnation &life, unsigned open, TimePoint now);
     /** When a request may go there again; nothing if that can't be told. */
-    std::optional<TimePoint> nextRoom(const TargetIncarnation &life, TimePoint now) const;
+    std::optional<TimePoint> nextSendTime(const TargetIncarnation &life, TimePoint now) const;
 
     bool isLeaving(const TargetIncarnation &life) const;
     /** Its backoff is over, and it has not taken enough requests since then to be trusted with second sends. */
     bool inSlowStart(const TargetIncarnation &life, TimePoint now) const;
     /** Null if the runner has not asked for it, or it is over. */
-    const BackoffRequest *backoff(const TargetIncarnation &life) const;
-    std::size_t backingOff(TimePoint now) const;
+    const BackoffRequest *activeBackoff(const TargetIncarnation &life) const;
+    std::size_t backingOffCount(TimePoint now) const;
     /** Ends what has passed; the lives whose time was over at @p now for the first time. */
-    std::map<TargetIncarnation, BackoffRequest> takeEnded(TimePoint now);
+    std::map<TargetIncarnation, BackoffRequest> takeExpiredBackoffs(TimePoint now);
     std::vector<TargetIncarnation> lives() const;
 
     RunnerLimits limits; ///< requests a second that runners have named
@@ -79,7 +79,7 @@
     struct Signal {
         RunnerBackoff backoff;
         BackoffRequest request;
-        bool requested = false; ///< `request` holds
+        bool hasRequest = false; ///< `request` holds
         bool leaving = false;
     };
 
--- a/fulmarlink/signalwatch.cpp
+++ b/fulmarlink/signalwatch.cpp
@@ -37,7 +37,7 @@
     return Duration(std::uniform_int_distribution<Duration::rep>(0, most)(m_state.random));
 }
 
-void SignalWatch::answered(const TargetInfo &target, const RunnerAnswer &answer, const std::string &source)
+void SignalWatch::handleAnswer(const TargetInfo &target, const RunnerAnswer &answer, const std::string &source)
 {
     if (!answer.speaksForTarget) {
         return;
@@ -57,12 +57,12 @@
 {
     const TargetIncarnation life{target.id, target.born};
     const TimePoint now = m_state.clock.now();
-    const bool news = m_state.signals.backoff(life) == nullptr;
+    const bool news = m_state.signals.activeBackoff(life) == nullptr;
     const Duration spread = this->spread(target);
-    const bool extended = m_state.signals.backOff(life, asked, spread, source, now);
+    const bool extended = m_state.signals.recordBackoff(life, asked, spread, source, now);
     m_state.counters.add(m_backoffs);
-    m_state.counters.set(m_backingOff, m_state.signals.backingOff(now));
-    if (m_state.signals.backoff(life) == nullptr) {
+    m_state.counters.set(m_backingOff, m_state.signals.backingOffCount(now));
+    if (m_state.signals.activeBackoff(life) == nullptr) {
         logWarning("runner-signals-full", {{"target", life.id}, {"born", std::to_string(life.born)}, {"lives", std::to_string(RunnerSignals::kMaxLives)}});
     }
     if (!extended) {
@@ -82,7 +82,7 @@
 {
     const TargetIncarnation life{target.id, target.born};
     m_state.counters.add(m_leaving);
-    if (!m_state.signals.leaving(life)) {
+    if (!m_state.signals.markLeaving(life)) {
         return;
     }
     m_state.connections->drop(target.id);
@@ -94,23 +94,23 @@
                {"source", source}});
 }
 
-void SignalWatch::sweep()
+void SignalWatch::expireBackoffs()
 {
     const TimePoint now = m_state.clock.now();
-    for (const auto &[life, request] : m_state.signals.takeEnded(now)) {
+    for (const auto &[life, request] : m_state.signals.takeExpiredBackoffs(now)) {
         logChange("runner-backoff",
                   {{"target", life.id},
                    {"born", std::to_string(life.born)},
                    {"change", "ended"},
-                   {"asked_ms", msText(request.asked)},
+                   {"asked_ms", msText(request.duration)},
                    {"age_ms", msText(now - request.since)},
-                   {"refused", std::to_string(request.refused)},
+                   {"refused", std::to_string(request.refusedAttempts)},
                    {"source", request.source}});
     }
-    m_state.counters.set(m_backingOff, m_state.signals.backingOff(now));
+    m_state.counters.set(m_backingOff, m_state.signals.backingOffCount(now));
 }
 
-void SignalWatch::dropGone()
+void SignalWatch::removeUnlistedRunners()
 {
     std::set<TargetIncarnation> unlisted;
     for (const TargetIncarnation &life : m_state.signals.lives()) {
--- a/fulmarlink/signalwatch.h
+++ b/fulmarlink/signalwatch.h
@@ -6,7 +6,7 @@
 #include "fulmarlink/counters.h"
 #include "fulmarlink/crashrecord.h"
 #include "fulmarlink/gatewaystate.h"
-#include "fulmarlink/runnerlistener.h"
+#include "fulmarlink/runneranswerobserver.h"
 
 namespace fulmarlink
 {
@@ -15,17 +15,17 @@
  * Takes in what runners' answers tell this host alone: to back off, and that they are
  * leaving. Logs and counts each change. Limits, which hosts share, are LimitWatch's.
  */
-class SignalWatch final : public RunnerListener
+class SignalWatch final : public RunnerAnswerObserver
 {
 public:
     explicit SignalWatch(GatewayState &state);
 
     /** The head of any answer that came on a connection to @p target, also one that belongs to another attempt than @p source. */
-    void answered(const TargetInfo &target, const RunnerAnswer &answer, const std::string &source) override;
+    void handleAnswer(const TargetInfo &target, const RunnerAnswer &answer, const std::string &source) override;
     /** Called often: logs what is over. */
-    void sweep();
+    void expireBackoffs();
     /** Called now and then: what runners said that are gone is forgotten. */
-    void dropGone();
+    void removeUnlistedRunners();
 
 private:
     void noteBackoff(const TargetInfo &target, Duration asked, const std::string &source);
@@ -34,7 +34,7 @@
     Duration spread(const TargetInfo &target);
 
     GatewayState &m_state;
-    std::set<TargetIncarnation> m_unlisted; ///< lives that the list of runners did not have when dropGone() last looked
+    std::set<TargetIncarnation> m_unlisted; ///< lives that the list of runners did not have when removeUnlistedRunners() last looked
     std::set<TargetIncarnation> m_malformed; ///< lives that a line has told of
     Counters::Id m_backingOff;
     Counters::Id m_backoffs;
--- a/fulmarlink/targettable.cpp
+++ b/fulmarlink/targettable.cpp
@@ -77,9 +77,9 @@
     return state.listed && !listedLeaving && !saidLeaving && !lapsed;
 }
 
-RunnerObstacle TargetTable::obstacle(const State &state, TimePoint now) const
+RunnerExclusion TargetTable::obstacle(const State &state, TimePoint now) const
 {
-    return m_signals == nullptr ? RunnerObstacle::None : m_signals->obstacle({state.info.id, state.info.born}, state.own, now);
+    return m_signals == nullptr ? RunnerExclusion::None : m_signals->exclusion({state.info.id, state.info.born}, state.own, now);
 }
 
 void TargetTable::setSignals(const RunnerSignals *signals)
@@ -94,14 +94,14 @@
         if (state.info.pool != pool || !usable(state, now) || tried.contains(id)) {
             continue;
         }
-        const RunnerObstacle found = obstacle(state, now);
-        if (found == RunnerObstacle::None) {
+        const RunnerExclusion found = obstacle(state, now);
+        if (found == RunnerExclusion::None) {
             ++result.free;
             continue;
         }
         const TargetIncarnation life{id, state.info.born};
-        const auto next = m_signals->nextRoom(life, now);
-        const bool limited = found == RunnerObstacle::Limited;
+        const auto next = m_signals->nextSendTime(life, now);
+        const bool limited = found == RunnerExclusion::RateLimited;
         result.limited += limited ? 1 : 0;
         result.backingOff += limited ? 0 : 1;
         result.limitedPerSecond += limited ? m_signals->pacer.limitOf(life) : 0;
@@ -130,7 +130,7 @@
     };
     std::map<std::string_view, Best> byGroup;
     for (const auto &[id, state] : m_states) {
-        if (state.info.pool != pool || !usable(state, now) || tried.contains(id) || obstacle(state, now) != RunnerObstacle::None) {
+        if (state.info.pool != pool || !usable(state, now) || tried.contains(id) || obstacle(state, now) != RunnerExclusion::None) {
             continue;
         }
         Best &best = byGroup[state.group];
--- a/fulmarlink/targettable.h
+++ b/fulmarlink/targettable.h
@@ -16,7 +16,7 @@
 {
 
 class RunnerSignals;
-enum class RunnerObstacle : std::uint8_t;
+enum class RunnerExclusion : std::uint8_t;
 
 /** One runner as the platform lists it. */
 struct TargetInfo {
@@ -52,7 +52,7 @@
     unsigned runners = 0; ///< of the group that may take work
 };
 
-/** Of the runners that may take work but for what they have said themselves; see RunnerObstacle. */
+/** Of the runners that may take work but for what they have said themselves; see RunnerExclusion. */
 struct BlockedRunners {
     unsigned limited = 0;
     unsigned backingOff = 0; ///< slow start included
@@ -164,7 +164,7 @@
     };
 
     bool usable(const State &state, TimePoint now) const;
-    RunnerObstacle obstacle(const State &state, TimePoint now) const;
+    RunnerExclusion obstacle(const State &state, TimePoint now) const;
     double score(const State &state, TimePoint now) const;
     void restart(State &state);
 
--- a/testing/faultisolation_test.cpp
+++ b/testing/faultisolation_test.cpp
@@ -135,7 +135,7 @@
         return m_delegate->removeLimitRecord(std::move(incarnation));
     }
 
-    void setRunnerListener(RunnerListener *listener) override
+    void setRunnerListener(RunnerAnswerObserver *listener) override
     {
         m_delegate->setRunnerListener(listener);
     }
--- a/testing/harness/fakegroup.h
+++ b/testing/harness/fakegroup.h
@@ -52,7 +52,7 @@
     boost::asio::awaitable<std::error_code> removeCrashRecord(std::string name) override;
     boost::asio::awaitable<std::error_code> writeLimitRecord(LimitRecord record) override;
     boost::asio::awaitable<std::error_code> removeLimitRecord(TargetIncarnation life) override;
-    void setRunnerListener(RunnerListener * /*its ranks say nothing of themselves*/) override
+    void setRunnerListener(RunnerAnswerObserver * /*its ranks say nothing of themselves*/) override
     {
     }
     boost::asio::awaitable<RankReportRead> readRankReport(TargetInfo target) override;
--- a/testing/runnerattempts_test.cpp
+++ b/testing/runnerattempts_test.cpp
@@ -9,7 +9,7 @@
 {
 
 using namespace std::chrono_literals;
-using End = RunnerAttempts::End;
+using Outcome = RunnerAttempts::Outcome;
 
 const TargetIncarnation kLife{"i-1", 7};
 const TargetIncarnation kNext{"i-1", 8};
@@ -40,13 +40,13 @@
 TEST(RunnerAttempts, OnlyWhatWasInProgressAtTheRunnerThatEndedIsSuspected)
 {
     RunnerAttempts attempts;
-    const auto answered = attempts.sent(kLife, suspect(1));
-    const auto cut = attempts.sent(kLife, suspect(2));
-    attempts.sent(kLife, suspect(3));
-    attempts.sent(kOther, suspect(4));
-    attempts.sent(kNext, suspect(5));
-    attempts.ended(answered, End::Known, at(0ms));
-    attempts.ended(cut, End::BrokenOff, at(0ms));
+    const auto answered = attempts.add(kLife, suspect(1));
+    const auto cut = attempts.add(kLife, suspect(2));
+    attempts.add(kLife, suspect(3));
+    attempts.add(kOther, suspect(4));
+    attempts.add(kNext, suspect(5));
+    attempts.recordEnd(answered, Outcome::Resolved, at(0ms));
+    attempts.recordEnd(cut, Outcome::Broken, at(0ms));
     EXPECT_TRUE(attempts.anyInProgress(kLife));
     EXPECT_EQ(numbers(attempts.takeSuspects(kLife, at(100ms))), (std::vector<std::uint64_t>{2, 3}));
 }
@@ -54,10 +54,10 @@
 TEST(RunnerAttempts, EachSuspectIsGivenOnce)
 {
     RunnerAttempts attempts;
-    const auto open = attempts.sent(kLife, suspect(1));
+    const auto open = attempts.add(kLife, suspect(1));
     EXPECT_EQ(attempts.takeSuspects(kLife, at(0ms)).size(), 1U);
     EXPECT_TRUE(attempts.takeSuspects(kLife, at(0ms)).empty());
-    attempts.ended(open, End::BrokenOff, at(1ms));
+    attempts.recordEnd(open, Outcome::Broken, at(1ms));
     EXPECT_TRUE(attempts.takeSuspects(kLife, at(1ms)).empty());
     EXPECT_TRUE(attempts.livesOf("i-1", at(1ms)).empty());
 }
@@ -65,7 +65,7 @@
 TEST(RunnerAttempts, WhatBrokeOffLongBeforeTheEndIsForgotten)
 {
     RunnerAttempts attempts;
-    attempts.ended(attempts.sent(kLife, suspect(1)), End::BrokenOff, at(0ms));
+    attempts.recordEnd(attempts.add(kLife, suspect(1)), Outcome::Broken, at(0ms));
     EXPECT_EQ(attempts.livesOf("i-1", at(5s)), std::vector<TargetIncarnation>{kLife});
     EXPECT_TRUE(attempts.takeSuspects(kLife, at(5001ms)).empty());
 }
@@ -73,8 +73,8 @@
 TEST(RunnerAttempts, AnAnswerThatHasBegunIsNoted)
 {
     RunnerAttempts attempts;
-    attempts.answering(attempts.sent(kLife, suspect(1)));
-    attempts.sent(kLife, suspect(2));
+    attempts.markAnswering(attempts.add(kLife, suspect(1)));
+    attempts.add(kLife, suspect(2));
     const auto suspects = attempts.takeSuspects(kLife, at(0ms));
     ASSERT_EQ(suspects.size(), 2U);
     EXPECT_TRUE(suspects[0].answerStarted);
--- a/testing/runnersignals_test.cpp
+++ b/testing/runnersignals_test.cpp
@@ -24,7 +24,7 @@
 RunnerSignals backingOff(Duration asked)
 {
     RunnerSignals signals;
-    signals.backOff(kRunner, asked, 0s, "attempt-1", kStart);
+    signals.recordBackoff(kRunner, asked, 0s, "attempt-1", kStart);
     return signals;
 }
 
@@ -33,34 +33,34 @@
 TEST(RunnerSignals, ARunnerThatBacksOffGetsNothingUntilItsTimeHasPassed)
 {
     const RunnerSignals signals = backingOff(3s);
-    EXPECT_EQ(signals.obstacle(kRunner, 0, kStart), RunnerObstacle::BackingOff);
-    EXPECT_EQ(signals.obstacle(kRunner, 0, kStart + 3s - 1us), RunnerObstacle::BackingOff);
-    EXPECT_EQ(signals.obstacle(kRunner, 0, kStart + 3s), RunnerObstacle::None);
-    EXPECT_EQ(signals.nextRoom(kRunner, kStart), kStart + 3s);
-    EXPECT_EQ(signals.obstacle({"i-2", 1}, 9, kStart), RunnerObstacle::None);
-    EXPECT_EQ(signals.obstacle({"i-1", 2}, 9, kStart), RunnerObstacle::None) << "another life";
+    EXPECT_EQ(signals.exclusion(kRunner, 0, kStart), RunnerExclusion::BackingOff);
+    EXPECT_EQ(signals.exclusion(kRunner, 0, kStart + 3s - 1us), RunnerExclusion::BackingOff);
+    EXPECT_EQ(signals.exclusion(kRunner, 0, kStart + 3s), RunnerExclusion::None);
+    EXPECT_EQ(signals.nextSendTime(kRunner, kStart), kStart + 3s);
+    EXPECT_EQ(signals.exclusion({"i-2", 1}, 9, kStart), RunnerExclusion::None);
+    EXPECT_EQ(signals.exclusion({"i-1", 2}, 9, kStart), RunnerExclusion::None) << "another life";
 }
 
 // Guards against a late answer that names less time and lets requests go to a runner that still wants none.
 TEST(RunnerSignals, ALaterShorterBackoffDoesNotShortenAnEarlierOne)
 {
     RunnerSignals signals = backingOff(3s);
-    EXPECT_FALSE(signals.backOff(kRunner, 1s, 0s, "attempt-2", kStart + 500ms));
-    EXPECT_EQ(signals.obstacle(kRunner, 0, kStart + 2s), RunnerObstacle::BackingOff);
-    EXPECT_TRUE(signals.backOff(kRunner, 4s, 0s, "attempt-3", kStart + 1s));
-    EXPECT_EQ(signals.obstacle(kRunner, 0, kStart + 4s), RunnerObstacle::BackingOff);
-    EXPECT_EQ(signals.backoff(kRunner)->refused, 3U);
-    EXPECT_EQ(signals.backoff(kRunner)->source, "attempt-3");
+    EXPECT_FALSE(signals.recordBackoff(kRunner, 1s, 0s, "attempt-2", kStart + 500ms));
+    EXPECT_EQ(signals.exclusion(kRunner, 0, kStart + 2s), RunnerExclusion::BackingOff);
+    EXPECT_TRUE(signals.recordBackoff(kRunner, 4s, 0s, "attempt-3", kStart + 1s));
+    EXPECT_EQ(signals.exclusion(kRunner, 0, kStart + 4s), RunnerExclusion::BackingOff);
+    EXPECT_EQ(signals.activeBackoff(kRunner)->refusedAttempts, 3U);
+    EXPECT_EQ(signals.activeBackoff(kRunner)->source, "attempt-3");
 }
 
 // Guards against an answer that was under way when the runner asked, and is taken for its consent.
 TEST(RunnerSignals, AnAnswerToARequestThatWasSentBeforeItsEndDoesNotEndIt)
 {
     RunnerSignals signals = backingOff(3s);
-    signals.accepted(kRunner, kStart - 1s, kSlots);
-    signals.accepted(kRunner, kStart + 1s, kSlots);
-    EXPECT_EQ(signals.obstacle(kRunner, 0, kStart + 2s), RunnerObstacle::BackingOff);
-    EXPECT_EQ(signals.obstacle(kRunner, 1, kStart + 3s), RunnerObstacle::SlowStart);
+    signals.recordAccepted(kRunner, kStart - 1s, kSlots);
+    signals.recordAccepted(kRunner, kStart + 1s, kSlots);
+    EXPECT_EQ(signals.exclusion(kRunner, 0, kStart + 2s), RunnerExclusion::BackingOff);
+    EXPECT_EQ(signals.exclusion(kRunner, 1, kStart + 3s), RunnerExclusion::SlowStart);
 }
 
 TEST(RunnerSignals, SlowStartDoublesWithEachRequestThatIsTaken)
@@ -68,21 +68,21 @@
     RunnerSignals signals = backingOff(3s);
     const TimePoint end = kStart + 3s;
     for (unsigned window = 1; window <= kSlots; window *= 2) {
-        EXPECT_EQ(signals.obstacle(kRunner, window - 1, end), RunnerObstacle::None) << window;
-        EXPECT_EQ(signals.obstacle(kRunner, window, end), RunnerObstacle::SlowStart) << window;
-        signals.accepted(kRunner, end, kSlots);
+        EXPECT_EQ(signals.exclusion(kRunner, window - 1, end), RunnerExclusion::None) << window;
+        EXPECT_EQ(signals.exclusion(kRunner, window, end), RunnerExclusion::SlowStart) << window;
+        signals.recordAccepted(kRunner, end, kSlots);
     }
-    EXPECT_EQ(signals.obstacle(kRunner, 100, end), RunnerObstacle::None);
+    EXPECT_EQ(signals.exclusion(kRunner, 100, end), RunnerExclusion::None);
 }
 
 // Guards against slow start that goes on where it had stopped when the runner asks to back off again.
 TEST(RunnerSignals, ABackoffInSlowStartBeginsItAnew)
 {
     RunnerSignals signals = backingOff(1s);
-    signals.accepted(kRunner, kStart + 1s, kSlots);
-    signals.accepted(kRunner, kStart + 1s, kSlots);
-    EXPECT_TRUE(signals.backOff(kRunner, 1s, 0s, "attempt-2", kStart + 1s));
-    EXPECT_EQ(signals.obstacle(kRunner, 1, kStart + 2s), RunnerObstacle::SlowStart);
+    signals.recordAccepted(kRunner, kStart + 1s, kSlots);
+    signals.recordAccepted(kRunner, kStart + 1s, kSlots);
+    EXPECT_TRUE(signals.recordBackoff(kRunner, 1s, 0s, "attempt-2", kStart + 1s));
+    EXPECT_EQ(signals.exclusion(kRunner, 1, kStart + 2s), RunnerExclusion::SlowStart);
 }
 
 TEST(RunnerSignals, TheLaterOfBackoffAndLimitCounts)
@@ -91,36 +91,36 @@
     Random random(1);
     signals.pacer.setHosts({"entry-0"}, "entry-0", kStart, random);
     signals.pacer.setLimit(kRunner, 0.2, kStart, random);
-    const TimePoint free = *signals.nextRoom(kRunner, kStart);
+    const TimePoint free = *signals.nextSendTime(kRunner, kStart);
     EXPECT_GE(free, kStart + 3s);
-    EXPECT_EQ(signals.take(kRunner, 0, free + 5s), RunnerObstacle::None);
-    EXPECT_EQ(signals.take(kRunner, 0, free + 5s), RunnerObstacle::Limited);
+    EXPECT_EQ(signals.reserveSend(kRunner, 0, free + 5s), RunnerExclusion::None);
+    EXPECT_EQ(signals.reserveSend(kRunner, 0, free + 5s), RunnerExclusion::RateLimited);
 }
 
 // Guards against a runner that leaves and is brought back by its backoff's end, or by being forgotten with it.
 TEST(RunnerSignals, ARunnerThatIsLeavingGetsNothingInThisLife)
 {
     RunnerSignals signals = backingOff(1s);
-    EXPECT_TRUE(signals.leaving(kRunner));
-    EXPECT_FALSE(signals.leaving(kRunner)) << "known";
-    signals.takeEnded(kStart + 5s);
-    EXPECT_EQ(signals.obstacle(kRunner, 0, kStart + 5s), RunnerObstacle::Leaving);
-    EXPECT_FALSE(signals.nextRoom(kRunner, kStart + 5s));
-    EXPECT_EQ(signals.obstacle({"i-1", 2}, 0, kStart + 5s), RunnerObstacle::None);
+    EXPECT_TRUE(signals.markLeaving(kRunner));
+    EXPECT_FALSE(signals.markLeaving(kRunner)) << "known";
+    signals.takeExpiredBackoffs(kStart + 5s);
+    EXPECT_EQ(signals.exclusion(kRunner, 0, kStart + 5s), RunnerExclusion::Leaving);
+    EXPECT_FALSE(signals.nextSendTime(kRunner, kStart + 5s));
+    EXPECT_EQ(signals.exclusion({"i-1", 2}, 0, kStart + 5s), RunnerExclusion::None);
 }
 
 TEST(RunnerSignals, TheEndOfABackoffIsToldOnceAndWhatIsOverIsForgotten)
 {
     RunnerSignals signals = backingOff(1s);
-    EXPECT_TRUE(signals.takeEnded(kStart).empty());
-    EXPECT_EQ(signals.backingOff(kStart), 1U);
-    EXPECT_EQ(signals.takeEnded(kStart + 1s).size(), 1U);
-    EXPECT_TRUE(signals.takeEnded(kStart + 2s).empty());
-    EXPECT_EQ(signals.obstacle(kRunner, 1, kStart + 2s), RunnerObstacle::SlowStart) << "its slow start goes on";
+    EXPECT_TRUE(signals.takeExpiredBackoffs(kStart).empty());
+    EXPECT_EQ(signals.backingOffCount(kStart), 1U);
+    EXPECT_EQ(signals.takeExpiredBackoffs(kStart + 1s).size(), 1U);
+    EXPECT_TRUE(signals.takeExpiredBackoffs(kStart + 2s).empty());
+    EXPECT_EQ(signals.exclusion(kRunner, 1, kStart + 2s), RunnerExclusion::SlowStart) << "its slow start goes on";
     for (unsigned taken = 0; taken < 5; ++taken) {
-        signals.accepted(kRunner, kStart + 2s, kSlots);
+        signals.recordAccepted(kRunner, kStart + 2s, kSlots);
     }
-    signals.takeEnded(kStart + 3s);
+    signals.takeExpiredBackoffs(kStart + 3s);
     EXPECT_TRUE(signals.lives().empty());
 }
 
@@ -128,7 +128,7 @@
 {
     RunnerSignals signals;
     for (std::size_t i = 0; i < RunnerSignals::kMaxLives + 10; ++i) {
-        signals.backOff({"i-" + std::to_string(i), 1}, 1s, 0s, "a", kStart);
+        signals.recordBackoff({"i-" + std::to_string(i), 1}, 1s, 0s, "a", kStart);
     }
     EXPECT_EQ(signals.lives().size(), RunnerSignals::kMaxLives);
 }
@@ -185,7 +185,7 @@
             return end <= now;
         });
         while (!answers.empty() && answers.begin()->first <= now) {
-            signals.accepted(kRunner, now, kSlots);
+            signals.recordAccepted(kRunner, now, kSlots);
             toldLoad = answers.begin()->second;
             toldAt = answers.begin()->first;
             answers.erase(answers.begin());
@@ -207,7 +207,7 @@
     const double hostsPerSlot = static_cast<double>(hosts) / kSlots;
     const auto spread = static_cast<Duration::rep>(std::max(0.0, hostsPerSlot - 1) * static_cast<double>(service.count()));
     for (Sender &sender : senders) {
-        sender.signals.backOff(kRunner, 1s, Duration(std::uniform_int_distribution<Duration::rep>(0, spread)(random)), "a", kStart);
+        sender.signals.recordBackoff(kRunner, 1s, Duration(std::uniform_int_distribution<Duration::rep>(0, spread)(random)), "a", kStart);
     }
     unsigned refused = 0;
     double due = 0;
@@ -218,13 +218,13 @@
             sender.read(now);
             const bool seemsFull = sender.toldLoad >= kSlots && now - sender.toldAt < kLoadTrust;
             const auto open = static_cast<unsigned>(sender.open.size());
-            if (seemsFull || open >= kSlots || sender.signals.take(kRunner, open, now) != RunnerObstacle::None) {
+            if (seemsFull || open >= kSlots || sender.signals.reserveSend(kRunner, open, now) != RunnerExclusion::None) {
                 continue;
             }
             const std::optional<TimePoint> end = runner.take(now);
             if (!end) {
                 ++refused;
-                sender.signals.backOff(kRunner, 1s, Duration(0), "b", now);
+                sender.signals.recordBackoff(kRunner, 1s, Duration(0), "b", now);
                 continue;
             }
             sender.open.push_back(*end);
@@ -251,24 +251,24 @@
     {
         const ScopedMutation scoped(Mutation::ShortenBackoff);
         RunnerSignals signals = backingOff(3s);
-        signals.backOff(kRunner, 1s, 0s, "attempt-2", kStart);
-        EXPECT_EQ(signals.obstacle(kRunner, 0, kStart + 2s), RunnerObstacle::None);
+        signals.recordBackoff(kRunner, 1s, 0s, "attempt-2", kStart);
+        EXPECT_EQ(signals.exclusion(kRunner, 0, kStart + 2s), RunnerExclusion::None);
     }
     {
         const ScopedMutation scoped(Mutation::EndBackoffByOldAnswer);
         RunnerSignals signals = backingOff(3s);
-        signals.accepted(kRunner, kStart - 1s, kSlots);
-        EXPECT_EQ(signals.obstacle(kRunner, 0, kStart + 2s), RunnerObstacle::None);
+        signals.recordAccepted(kRunner, kStart - 1s, kSlots);
+        EXPECT_EQ(signals.exclusion(kRunner, 0, kStart + 2s), RunnerExclusion::None);
     }
     {
         const ScopedMutation scoped(Mutation::SkipSlowStart);
-        EXPECT_EQ(backingOff(3s).obstacle(kRunner, 9, kStart + 3s), RunnerObstacle::None);
+        EXPECT_EQ(backingOff(3s).exclusion(kRunner, 9, kStart + 3s), RunnerExclusion::None);
         EXPECT_GT(refusedAfterBackoff(16, 30ms), 16U);
         EXPECT_GT(refusedAfterBackoff(16, 800ms), 16U);
     }
     {
         const ScopedMutation scoped(Mutation::IgnoreBackoff);
-        EXPECT_EQ(backingOff(3s).obstacle(kRunner, 0, kStart), RunnerObstacle::None);
+        EXPECT_EQ(backingOff(3s).exclusion(kRunner, 0, kStart), RunnerExclusion::None);
     }
 }
 
