--- a/fulmarlink/demandshiftdetector.cpp
+++ b/fulmarlink/demandshiftdetector.cpp
@@ -10,20 +10,20 @@
 namespace
 {
 
-constexpr Duration kSettle = std::chrono::milliseconds(300); ///< after a switch, some passes, so that the calm pace is known again
-constexpr Duration kLongestRest = std::chrono::milliseconds(5000); ///< without a look at the counts
-constexpr Duration kLateRest
-    = std::chrono::milliseconds(800); ///< while streams are late: the pace of a full group says little, and one more look costs 0.02 s of its time
-constexpr Duration kLongestBlindRest = std::chrono::seconds(12); ///< where this host has no streams by whose pace it could tell
-constexpr double kEasyShare = 0.3; ///< of the gap target: with shorter pauses all are on time, and a switch would serve nobody better
-constexpr double kSlowdown = 1.25; ///< of the calm pause: demand has turned, or the batch has grown
-constexpr double kSilence = 1.5; ///< times the calm pause without an event; prompts lengthen single passes by less
+constexpr Duration kSettleTime = std::chrono::milliseconds(300); ///< some passes after restart(), to establish the baseline
+constexpr Duration kMaxReadInterval = std::chrono::milliseconds(5000); ///< between two reads of the counts
+constexpr Duration kLateReadInterval
+    = std::chrono::milliseconds(800); ///< while streams are late: intervals of a saturated group say little, and a further read costs 0.02 s of its time
+constexpr Duration kNoStreamsReadInterval = std::chrono::seconds(12); ///< on a host without streams of the group
+constexpr double kOnTimeShare = 0.3; ///< of the gap target: with shorter intervals all streams are on time and a switch improves nothing
+constexpr double kShiftFactor = 1.25; ///< relative to the baseline: demand has shifted, or the batch has grown
+constexpr double kSilenceFactor = 1.5; ///< baseline intervals without an event; prompts lengthen single passes by less
 
 /**
- * A turn takes the busiest rank's load from 1.2 to 2.5 times the mean at the most, and so a pass to 2.1 times its length where the experts take 0.85
- * of it. Reports that are read in vain cost a hundredth of a look at the counts.
+ * A demand shift raises the busiest rank's load from 1.2 to at most 2.5 times the mean, and thus the pass to at most 2.1 times its length if the experts
+ * take 85% of it. An unnecessary read of the reports costs a hundredth of a read of the counts.
  */
-constexpr double kFarSlowdown = 2.5;
+constexpr double kSlowRankFactor = 2.5;
 
 std::chrono::duration<double> seconds(Duration duration)
 {
@@ -34,35 +34,35 @@
 
 void DemandShiftDetector::restart(TimePoint now)
 {
-    m_restarted = now;
-    m_calm.reset();
+    m_restartedAt = now;
+    m_baseline.reset();
 }
 
-bool DemandShiftDetector::countsDue(const EventTiming &view, TimePoint now)
+bool DemandShiftDetector::countsDue(const EventTiming &timing, TimePoint now)
 {
-    const Duration rested = now - m_restarted;
-    if (!view.meanInterval) {
-        return rested > kLongestBlindRest;
+    const Duration sinceRestart = now - m_restartedAt;
+    if (!timing.meanInterval) {
+        return sinceRestart > kNoStreamsReadInterval;
     }
-    m_calm = m_calm ? std::min(*m_calm, *view.meanInterval) : *view.meanInterval;
-    const bool easy = seconds(*view.meanInterval) < seconds(view.gapTarget) * kEasyShare;
-    if (easy || rested < kSettle) {
+    m_baseline = m_baseline ? std::min(*m_baseline, *timing.meanInterval) : *timing.meanInterval;
+    const bool wellOnTime = seconds(*timing.meanInterval) < seconds(timing.gapTarget) * kOnTimeShare;
+    if (wellOnTime || sinceRestart < kSettleTime) {
         return false;
     }
-    const bool slower = seconds(*view.meanInterval) > seconds(*m_calm) * kSlowdown;
-    const bool silent = !mutated(Mutation::BlindToSilence) && seconds(now - view.lastEvent) > seconds(*m_calm) * kSilence;
-    const bool late = *view.meanInterval > view.gapTarget && rested > kLateRest;
-    return slower || silent || late || rested > kLongestRest;
+    const bool slower = seconds(*timing.meanInterval) > seconds(*m_baseline) * kShiftFactor;
+    const bool silent = !mutated(Mutation::BlindToSilence) && seconds(now - timing.lastEvent) > seconds(*m_baseline) * kSilenceFactor;
+    const bool late = *timing.meanInterval > timing.gapTarget && sinceRestart > kLateReadInterval;
+    return slower || silent || late || sinceRestart > kMaxReadInterval;
 }
 
-bool DemandShiftDetector::suggestsSlowRank(std::optional<Duration> meanInterval, std::optional<Duration> calm)
+bool DemandShiftDetector::suggestsSlowRank(std::optional<Duration> meanInterval, std::optional<Duration> baseline)
 {
-    return meanInterval && calm && seconds(*meanInterval) > seconds(*calm) * kFarSlowdown;
+    return meanInterval && baseline && seconds(*meanInterval) > seconds(*baseline) * kSlowRankFactor;
 }
 
 std::optional<Duration> DemandShiftDetector::baselineInterval() const
 {
-    return m_calm;
+    return m_baseline;
 }
 
 } // namespace fulmarlink
--- a/fulmarlink/demandshiftdetector.h
+++ b/fulmarlink/demandshiftdetector.h
@@ -7,39 +7,39 @@
 namespace fulmarlink
 {
 
-/** The pace of a group as its streams show it here. */
+/** Event timing of a group's streams on this host. */
 struct EventTiming {
-    std::optional<Duration> meanInterval; ///< between events of the last few passes; nothing where too few were seen
-    TimePoint lastEvent{}; ///< when an event last came
-    Duration gapTarget{0}; ///< the longest pause that is on time
+    std::optional<Duration> meanInterval; ///< between events of the last few passes; unset if too few were seen
+    TimePoint lastEvent{}; ///< arrival of the last event
+    Duration gapTarget{0}; ///< longest interval that meets the latency target
 };
 
 /**
- * Tells from the pauses between events, which cost nothing, when a group's expert map no
- * longer fits what is in demand and its counts are worth reading.
+ * Detects from the intervals between stream events, which cost nothing to observe, that a
+ * group's expert map may no longer fit the demand, so that its expert counts should be read.
  *
- * All ranks wait for the busiest one, so a turn of demand shows in the first pass after
- * it, on each stream at once. That pass is noticed while it lasts: a group that has been
- * silent for half as long again as its calm passes take is in a slow one. Waiting for
- * its end would cost what is left of it, 0.05 s of 0.15.
+ * All ranks wait for the busiest one, so a shift in demand lengthens the next pass and shows
+ * on every stream at once. It is detected during that pass: a group without an event for 1.5
+ * times its baseline interval is in a slow pass. Waiting for the end of the pass would cost
+ * the rest of it, 0.05 s of 0.15 s.
  *
- * Contract: pure; not thread-safe.
+ * Does no I/O. Not thread-safe.
  */
 class DemandShiftDetector
 {
 public:
-    /** Counts were read, or a switch has ended: the pace is measured anew. */
+    /** Discards the baseline. To be called after a read of the counts and after a switch. */
     void restart(TimePoint now);
-    /** True if the counts should be read now. To be asked often: the calm pace is learned on the way. */
-    bool countsDue(const EventTiming &view, TimePoint now);
-    /** Whether passes take so much longer than @p calm ones that no turn of demand explains it: a rank must be slow. */
-    static bool suggestsSlowRank(std::optional<Duration> meanInterval, std::optional<Duration> calm);
-    /** The shortest mean pause since restart(). */
+    /** True if the counts should be read now. Each call also updates the baseline, so it is to be called often. */
+    bool countsDue(const EventTiming &timing, TimePoint now);
+    /** True if passes are so much longer than @p baseline that no demand shift explains it, so a rank must be slow. */
+    static bool suggestsSlowRank(std::optional<Duration> meanInterval, std::optional<Duration> baseline);
+    /** Shortest mean interval since restart(). */
     std::optional<Duration> baselineInterval() const;
 
 private:
-    std::optional<Duration> m_calm;
-    TimePoint m_restarted{};
+    std::optional<Duration> m_baseline;
+    TimePoint m_restartedAt{};
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/expertmapcontroller.cpp
+++ b/fulmarlink/expertmapcontroller.cpp
@@ -1,7 +1,7 @@
-// A leader's round: look at the pace of the events here; when it has turned, read the counts
-// of some ranks twice and plan; if the plan is worth it, drive the switch. Reports are the
-// expensive and old part, so they are read only to choose the pass to hold, when an order was
-// refused, and when the group seems to stand still.
+// The leader's loop: watch the event intervals of local streams; when they show a shift in
+// demand, read the expert counts of a few ranks twice and plan a map; if the gain is large
+// enough, run the switch. Reports are costly and stale, so they are read only to choose the
+// pass to hold, after a refused order, and when the group appears stalled.
 
 #include "fulmarlink/expertmapcontroller.h"
 
@@ -24,41 +24,41 @@
 namespace
 {
 
-constexpr Duration kRound = std::chrono::milliseconds(20); ///< between two looks at the pace; a third of a usual pass
-constexpr unsigned kWindowPasses = 2; ///< at the most
-constexpr Duration kFollowerRound = std::chrono::milliseconds(150);
-constexpr Duration kHelpSpread = std::chrono::milliseconds(250); ///< entries that see a standstill look at the reports one after the other
-constexpr Duration kSlowLook = std::chrono::milliseconds(1000); ///< at ranks that were slow; an engine's trouble lasts seconds
-constexpr Duration kUnknownLook = std::chrono::milliseconds(200); ///< at a group that forms or starts, as old as its reports are
-constexpr Duration kBlindPatience = std::chrono::milliseconds(1500); ///< longer than hosts with streams need to see a lease that was left
+constexpr Duration kLeaderInterval = std::chrono::milliseconds(20); ///< poll interval of the leader; a third of a typical pass
+constexpr unsigned kMaxWindowPasses = 2; ///< over which expert counts are collected
+constexpr Duration kFollowerInterval = std::chrono::milliseconds(150);
+constexpr Duration kRecoveryJitter = std::chrono::milliseconds(250); ///< spreads the report reads of hosts that see the same stalled group
+constexpr Duration kSlowRankRefresh = std::chrono::milliseconds(1000); ///< while a rank is known to be slow; engine trouble lasts for seconds
+constexpr Duration kMapReadInterval = std::chrono::milliseconds(200); ///< while the group is forming or starting; equals the age of its reports
+constexpr Duration kNoStreamsAcquireDelay = std::chrono::milliseconds(1500); ///< longer than hosts with streams need to notice a released lease
 /**
- * For each group whose map the host keeps already: longer than hosts without streams wait (kBlindPatience) and than two looks at a lease take, so that
- * groups lie on different hosts where there are any. A host that freezes then costs one group its maps, not all: 0.06 of worth on days with a
- * frozen owner, by 8 plays with 1.3 s and 8 with 3 s.
+ * For each other group that this host already leads. Longer than kNoStreamsAcquireDelay and than two lease polls, so that the groups are spread over the
+ * available hosts and a frozen host affects the maps of one group only. On days with a frozen leader, 3 s scored 0.06 better than 1.3 s (8 runs each).
  */
-constexpr Duration kOtherGroupPatience = std::chrono::milliseconds(3000);
-constexpr Duration kGroupForgotten = std::chrono::seconds(10); ///< without a member; ranks that are replaced one after the other take less
-constexpr Duration kYield = std::chrono::seconds(4); ///< a partition lasts seconds; by then another entry has the lease
-constexpr Duration kReportMargin = std::chrono::milliseconds(80); ///< beyond the reports' stated lag
-constexpr double kLeastWeight = 0.001; ///< keeps a weight of zero from dividing
-constexpr double kLeastChoices = 2000; ///< in the counts of a round, so that noise moves nothing
-constexpr double kUsualImbalance = 1.2; ///< of a map that fits what is in demand, with the noise of a short window
-constexpr unsigned kChangesAtOnce = 64; ///< about a millisecond of a core for 72 ranks
-constexpr std::uint64_t kVersionsOfTerm = 1U << 20; ///< at a switch each three seconds a term would have to last a month to run out of them
+constexpr Duration kPerGroupAcquireDelay = std::chrono::milliseconds(3000);
+constexpr Duration kEmptyGroupTimeout = std::chrono::seconds(10); ///< without a listed member; a rolling replacement of ranks takes less
+constexpr Duration kReacquireDelay = std::chrono::seconds(4); ///< a network partition lasts for seconds; by then another host holds the lease
+constexpr Duration kReportMargin = std::chrono::milliseconds(80); ///< added to the configured report lag
+constexpr double kMinWeight = 0.001; ///< avoids a division by zero
+constexpr double kMinRoutingChoices = 2000; ///< in one window of counts, so that noise does not trigger a switch
+constexpr double kTypicalImbalance = 1.2; ///< of a map that fits the demand, including the noise of a short window
+constexpr unsigned kPlannerBatch = 64; ///< planner steps before other work runs; about 1 ms of CPU time for 72 ranks
+constexpr std::uint64_t kVersionsPerTerm = 1U << 20; ///< at one switch every 3 s they last for a month-long term
 
 /**
- * The map goes to each rank: 72 ranks of 12 sets take 0.65 MB, 0.13 s of a link of 40 Mbit/s and 0.03 s of one of 200, while the group runs on the
- * old map. The others look at the lease each 0.6 s, so eight times the difference lets the faster host take it first.
+ * Delays hosts with slow links, so that a faster host acquires the lease first. A switch sends the map to each rank: for 72 ranks with 12 sets these
+ * are 0.65 MB, which take 0.13 s at 40 Mbit/s and 0.03 s at 200 Mbit/s, while the group runs on the old map. Waiting hosts poll the lease every 0.6 s,
+ * so a delay of eight times the transfer time sets the two apart by more than one poll.
  */
-Duration takeoverPatience(double linkMbps)
+Duration linkAcquireDelay(double linkMbps)
 {
-    constexpr double kOrdersMegabits = 5.2;
+    constexpr double kMapMegabits = 5.2;
     constexpr double kFactor = 8;
-    constexpr Duration kMost = std::chrono::milliseconds(1500);
+    constexpr Duration kMaxDelay = std::chrono::milliseconds(1500);
     if (linkMbps <= 0) {
         return Duration(0);
     }
-    return std::min(kMost, std::chrono::duration_cast<Duration>(std::chrono::duration<double>(kFactor * kOrdersMegabits / linkMbps)));
+    return std::min(kMaxDelay, std::chrono::duration_cast<Duration>(std::chrono::duration<double>(kFactor * kMapMegabits / linkMbps)));
 }
 
 } // namespace
@@ -70,7 +70,7 @@
     , m_pool(std::move(pool))
     , m_group(std::move(group))
     , m_leaseName(m_pool + '.' + m_group)
-    , m_lease(context, state, platform, m_leaseName, LeaseOptions{.self = state.settings.host, .acquireDelay = takeoverPatience(state.settings.linkMbps)})
+    , m_lease(context, state, platform, m_leaseName, LeaseOptions{.self = state.settings.host, .acquireDelay = linkAcquireDelay(state.settings.linkMbps)})
     , m_switchesDone(state.counters.registerCounter("fulmarlink_map_switches_total"))
     , m_switchesGivenUp(state.counters.registerCounter("fulmarlink_map_switches_given_up_total"))
     , m_copies(state.counters.registerCounter("fulmarlink_expert_copies_total"))
@@ -106,20 +106,21 @@
 bool ExpertMapController::hasMembers()
 {
     const bool any = !m_state.targets.listed(m_pool, m_group).empty();
-    m_lastMember = any || m_lastMember == TimePoint{} ? m_state.clock.now() : m_lastMember;
+    m_lastMemberAt = any || m_lastMemberAt == TimePoint{} ? m_state.clock.now() : m_lastMemberAt;
     return any;
 }
 
-/** How long this host lets others take the group's lease first. */
+/** How long this host waits before it acquires a free lease, so that better suited hosts can take it. */
 Duration ExpertMapController::acquireDelay() const
 {
     const bool streams = gate().recentPause(m_state.clock.now()).has_value();
     const unsigned others = m_state.groupsOwned - (m_wasLeader ? 1 : 0);
-    return takeoverPatience(m_state.settings.linkMbps) + (streams ? Duration(0) : kBlindPatience) + kOtherGroupPatience * static_cast<Duration::rep>(others);
+    return linkAcquireDelay(m_state.settings.linkMbps) + (streams ? Duration(0) : kNoStreamsAcquireDelay)
+           + kPerGroupAcquireDelay * static_cast<Duration::rep>(others);
 }
 
-/** What the host does when its lease has begun or ended. */
-asio::awaitable<void> ExpertMapController::noteLease()
+/** Resets the state that belongs to a lease term when this host has gained or lost the lease. */
+asio::awaitable<void> ExpertMapController::handleLeaseChange()
 {
     const bool leader = m_lease.holds();
     if (leader == m_wasLeader) {
@@ -135,9 +136,9 @@
                {"holder", m_lease.record().holder},
                {"renewals", std::to_string(m_lease.record().renewals)}});
     m_mapKnown = false;
-    m_blindPass = 0;
+    m_checkedPass = 0;
     m_switchPass = 0;
-    m_paces.clear();
+    m_slowdowns.clear();
     m_load.clear();
     if (leader) {
         co_await recover();
@@ -150,25 +151,25 @@
         return m_lease.run();
     };
     asio::co_spawn(m_context, supervised(m_context, m_state.counters, "lease", std::move(lease)), asio::detached);
-    m_lastMember = m_state.clock.now();
-    while (!m_state.drainBegan && m_state.clock.now() - m_lastMember < kGroupForgotten) {
-        co_await sleep(m_lease.holds() ? kRound : kFollowerRound);
+    m_lastMemberAt = m_state.clock.now();
+    while (!m_state.drainBegan && m_state.clock.now() - m_lastMemberAt < kEmptyGroupTimeout) {
+        co_await sleep(m_lease.holds() ? kLeaderInterval : kFollowerInterval);
         const auto spec = engine();
         if (!spec || !hasMembers()) {
             continue;
         }
         m_engine = *spec;
-        if (standsStill()) {
-            co_await sleep(Duration(static_cast<Duration::rep>(m_state.random() % kHelpSpread.count()))); // one entry is enough
-            if (standsStill()) {
+        if (isStalled()) {
+            co_await sleep(Duration(static_cast<Duration::rep>(m_state.random() % kRecoveryJitter.count()))); // one host is enough to recover the group
+            if (isStalled()) {
                 co_await recover();
             }
         }
         m_lease.setAcquireDelay(acquireDelay());
-        co_await noteLease();
+        co_await handleLeaseChange();
         applySlowTargets();
-        if (m_lease.holds() && !standsStill()) {
-            co_await leaderRound();
+        if (m_lease.holds() && !isStalled()) {
+            co_await runLeaderIteration();
         }
     }
     co_await end();
@@ -177,7 +178,7 @@
 asio::awaitable<void> ExpertMapController::end()
 {
     const bool held = m_lease.holds();
-    co_await m_lease.stop(kYield);
+    co_await m_lease.stop(kReacquireDelay);
     m_state.groupsOwned -= m_wasLeader ? 1 : 0;
     m_wasLeader = false;
     m_state.counters.set(m_leader, m_state.groupsOwned);
@@ -187,14 +188,14 @@
     m_ended = true;
 }
 
-asio::awaitable<void> ExpertMapController::leaderRound()
+asio::awaitable<void> ExpertMapController::runLeaderIteration()
 {
     if (!m_mapKnown) {
         const TimePoint now = m_state.clock.now();
-        if (now - m_unknownLook < kUnknownLook) {
+        if (now - m_lastMapReadAttempt < kMapReadInterval) {
             co_return;
         }
-        m_unknownLook = now;
+        m_lastMapReadAttempt = now;
         const bool complete = co_await readReports();
         if (!complete || !groupSettled(m_reports)) {
             co_return;
@@ -204,92 +205,92 @@
             co_return;
         }
     }
-    const bool leaves = co_await blind();
-    if (leaves) {
-        co_await leave(); // a host that has streams sees turns at once
+    const bool shouldRelease = co_await activeWithoutLocalStreams();
+    if (shouldRelease) {
+        co_await releaseLease(); // a host with streams detects demand shifts at once
         co_return;
     }
     const bool slowKnown = !m_lease.record().slowTargets.empty() || !m_slowTargets.empty();
-    if (slowKnown && m_state.clock.now() - m_pacesAt > kSlowLook) {
-        co_await lookForSlowRanks(); // whether they are slow still
+    if (slowKnown && m_state.clock.now() - m_slowdownsReadAt > kSlowRankRefresh) {
+        co_await refreshSlowRanks(); // checks whether they are still slow
     }
-    if (!paceTurned()) {
+    if (!shouldReadCounts()) {
         co_return;
     }
-    const std::optional<Duration> calm = m_pace.baselineInterval();
-    co_await readCounts(); // the window's beginning
+    const std::optional<Duration> baseline = m_shiftDetector.baselineInterval();
+    co_await readCounts(); // start of the window
     m_load.take();
-    for (unsigned passes = 0; passes < kWindowPasses && m_load.gathered() < kLeastChoices; ++passes) {
-        co_await waitForPass();
+    for (unsigned passes = 0; passes < kMaxWindowPasses && m_load.gathered() < kMinRoutingChoices; ++passes) {
+        co_await waitForNextPass();
         co_await readCounts();
     }
-    if (!m_mapKnown || m_load.gathered() < kLeastChoices) {
+    if (!m_mapKnown || m_load.gathered() < kMinRoutingChoices) {
         co_return;
     }
     const auto load = m_load.take();
     if (load.size() != m_map.size() || load.front().size() != m_engine.experts) {
         co_return;
     }
-    if (DemandShiftDetector::suggestsSlowRank(gate().recentPause(m_state.clock.now()), calm)) {
-        co_await lookForSlowRanks();
+    if (DemandShiftDetector::suggestsSlowRank(gate().recentPause(m_state.clock.now()), baseline)) {
+        co_await refreshSlowRanks();
     }
-    const double least = m_state.settings.leastImprovement * m_state.settings.costWeight / std::max(kLeastWeight, m_state.settings.skewWeight);
+    const double minImprovement = m_state.settings.leastImprovement * m_state.settings.costWeight / std::max(kMinWeight, m_state.settings.skewWeight);
     for (const Duration budget : {Duration(m_state.settings.firstCopies), Duration(m_state.settings.copies)}) {
-        ExpertPlan plan = co_await planned(load, budget);
-        if (plan.before - plan.after < least) {
-            const bool changed = co_await lookForSlowRanks(); // the map fits, and still passes are long
+        ExpertPlan plan = co_await computePlan(load, budget);
+        if (plan.before - plan.after < minImprovement) {
+            const bool changed = co_await refreshSlowRanks(); // the map fits the demand, but passes are still long
             if (!changed) {
                 break;
             }
-            plan = co_await planned(load, budget);
+            plan = co_await computePlan(load, budget);
         }
-        if (plan.before - plan.after >= least) {
-            co_await change(plan);
+        if (plan.before - plan.after >= minImprovement) {
+            co_await applyPlan(plan);
         }
-        if (!m_mapKnown || !restNeeded(calm, plan.after)) {
+        if (!m_mapKnown || !remainingCopiesNeeded(baseline, plan.after)) {
             break;
         }
     }
 }
 
-/** Whether passes stay so long after a first switch that the rest of the copies is worth its price. */
-bool ExpertMapController::restNeeded(std::optional<Duration> calm, double imbalance)
+/** True if passes are expected to stay so long after the first switch that the remaining copies pay off. */
+bool ExpertMapController::remainingCopiesNeeded(std::optional<Duration> baseline, double imbalance)
 {
     const Duration target = gate().gapTarget();
-    if (!calm) {
+    if (!baseline) {
         return true;
     }
-    const std::chrono::duration<double> expected = std::chrono::duration<double>(*calm) * passRatio(m_engine, kUsualImbalance, imbalance);
+    const std::chrono::duration<double> expected = std::chrono::duration<double>(*baseline) * passRatio(m_engine, kTypicalImbalance, imbalance);
     return expected > std::chrono::duration<double>(target) * m_state.settings.restShare;
 }
 
-asio::awaitable<ExpertPlan> ExpertMapController::planned(const std::vector<std::vector<double>> &load, Duration copyBudget)
+asio::awaitable<ExpertPlan> ExpertMapController::computePlan(const std::vector<std::vector<double>> &load, Duration copyBudget)
 {
     const EngineSpec spec = m_engine;
     ExpertPlanOptions options;
     options.placements = spec.placements;
     options.newPerSwitch = spec.newPerSwitch;
-    options.paces = m_paces;
+    options.paces = m_slowdowns;
     options.newPerRank = copiesWithin(spec, copyBudget);
     ExpertPlanner planner(m_map, load, options);
-    while (planner.improve(kChangesAtOnce)) {
-        co_await sleep(Duration(0)); // requests go on meanwhile
+    while (planner.improve(kPlannerBatch)) {
+        co_await sleep(Duration(0)); // lets request handling run between batches
     }
     ExpertPlan plan = planner.plan();
     logChange("map-planned",
               {{"pool", m_pool},
                {"group", m_group},
-               {"map", std::to_string(m_knownVersion)},
+               {"map", std::to_string(m_mapVersion)},
                {"before", twoDecimals(plan.before)},
                {"after", twoDecimals(plan.after)},
                {"copies", std::to_string(plan.copies)}});
     co_return plan;
 }
 
-asio::awaitable<void> ExpertMapController::leave()
+asio::awaitable<void> ExpertMapController::releaseLease()
 {
     logWarning("lease-left", {{"pool", m_pool}, {"group", m_group}, {"term", std::to_string(m_lease.termId())}});
-    co_await m_lease.release(kYield);
+    co_await m_lease.release(kReacquireDelay);
 }
 
 asio::awaitable<void> ExpertMapController::recover()
@@ -298,8 +299,8 @@
     co_await sleep(std::max(Duration(0), m_lastOrder + lag - m_state.clock.now()));
     const bool complete = co_await readReports();
     const bool leader = m_lease.holds();
-    if (!complete && leader && m_unreached > 0) {
-        co_await leave(); // another entry may reach the ranks
+    if (!complete && leader && m_unreachableRanks > 0) {
+        co_await releaseLease(); // another host may be able to reach the ranks
     }
     if (!complete || !m_switch.recover(m_reports, leader)) {
         co_return;
@@ -313,19 +314,19 @@
                 {"pass", std::to_string(m_switch.pass())},
                 {"reports", m_reports.front().raw}});
     m_mapKnown = false;
-    co_await drive(Duration(0), true);
+    co_await driveSwitch(Duration(0), true);
 }
 
-asio::awaitable<void> ExpertMapController::change(ExpertPlan plan)
+asio::awaitable<void> ExpertMapController::applyPlan(ExpertPlan plan)
 {
     const EngineSpec spec = m_engine;
-    const std::uint64_t version = m_lease.termId() * kVersionsOfTerm + ++m_switches % kVersionsOfTerm;
+    const std::uint64_t version = m_lease.termId() * kVersionsPerTerm + ++m_switchesBegun % kVersionsPerTerm;
     const Duration copyTime = copyLength(spec, plan.mostCopies);
-    co_await waitForSwitch();
+    co_await waitForLastSwitch();
     const TimePoint began = m_state.clock.now();
-    m_switch.begin(static_cast<unsigned>(m_ranks.size()), m_knownEpoch, version, plan.map);
+    m_switch.begin(static_cast<unsigned>(m_ranks.size()), m_mapEpoch, version, plan.map);
     m_mapKnown = false;
-    co_await drive(copyTime, false);
+    co_await driveSwitch(copyTime, false);
     const bool done = m_switch.phase() == SwitchPhase::Idle && m_switch.done() > 0;
     m_state.counters.add(done ? m_switchesDone : m_switchesGivenUp);
     m_state.counters.add(m_copies, plan.copies);
@@ -342,11 +343,11 @@
                {"copy_ms", std::to_string(copyTime.count() / 1000)},
                {"ms", std::to_string((m_state.clock.now() - began).count() / 1000)}});
     if (done) {
-        m_pace.restart(m_state.clock.now());
+        m_shiftDetector.restart(m_state.clock.now());
         m_switchPass = m_switch.pass();
-        m_switchGo = m_state.clock.now();
+        m_switchDoneAt = m_state.clock.now();
         m_map = std::move(plan.map);
-        m_knownVersion = version;
+        m_mapVersion = version;
         m_mapKnown = true;
     }
 }
--- a/fulmarlink/expertmapcontroller.h
+++ b/fulmarlink/expertmapcontroller.h
@@ -18,14 +18,16 @@
 {
 
 /**
- * Keeps the expert map of one rank group of a pool near what is in demand: holds the
- * group's lease, reads counts, plans, and drives GroupSwitch. One entry of all does it at a
- * time; any entry that sees the group stand still finishes a switch that its owner has left.
- * Groups of a pool have keepers of their own, often on different hosts, and know nothing of
- * each other.
+ * Rebalances the expert map of one rank group of a pool as demand shifts: reads the ranks'
+ * expert counts, plans a better map and switches the group to it through GroupSwitch.
  *
- * How to use: run() once for each group; it ends when the process begins to leave, or when
- * the group has had no member for a while.
+ * Only the host that holds the group's lease (the leader) plans and starts switches. Any host
+ * that sees the group stalled may finish a switch that its leader has abandoned. Each group
+ * has its own controller and lease; leaders of different groups are often different hosts
+ * and don't coordinate.
+ *
+ * Usage: call run() once. It ends when the process starts to drain, or when the group has had
+ * no member for some time.
  */
 class ExpertMapController
 {
@@ -33,49 +35,49 @@
     ExpertMapController(boost::asio::io_context &context, GatewayState &state, Platform &platform, std::string pool, std::string group);
 
     boost::asio::awaitable<void> run();
-    /** Gives the lease back. Part of run(); to be called after it only if it broke off by an exception. */
+    /** Releases the lease. run() calls it; the caller does so only if run() ended with an exception. */
     boost::asio::awaitable<void> end();
-    /** run() has ended, and all that it began: the object may go. */
+    /** True when run() and everything it started have ended, so that the object may be destroyed. */
     bool ended() const;
 
 private:
-    struct Gather;
+    struct ParallelCalls;
 
     PoolGate &gate() const;
     bool hasMembers();
     Duration acquireDelay() const;
-    void noteMembers(const std::vector<TargetInfo> &targets, const std::vector<RankReportRead> &reports);
+    void updateGroupMembership(const std::vector<TargetInfo> &targets, const std::vector<RankReportRead> &reports);
 
-    boost::asio::awaitable<void> noteLease();
-    boost::asio::awaitable<bool> lookForSlowRanks();
+    boost::asio::awaitable<void> handleLeaseChange();
+    boost::asio::awaitable<bool> refreshSlowRanks();
     void applySlowTargets();
-    boost::asio::awaitable<bool> blind();
-    boost::asio::awaitable<void> leaderRound();
+    boost::asio::awaitable<bool> activeWithoutLocalStreams();
+    boost::asio::awaitable<void> runLeaderIteration();
     boost::asio::awaitable<bool> readReports();
     boost::asio::awaitable<bool> readPlacements();
     boost::asio::awaitable<void> readCounts();
-    boost::asio::awaitable<void> waitForPass();
-    boost::asio::awaitable<void> waitForSwitch();
+    boost::asio::awaitable<void> waitForNextPass();
+    boost::asio::awaitable<void> waitForLastSwitch();
     boost::asio::awaitable<void> recover();
-    boost::asio::awaitable<ExpertPlan> planned(const std::vector<std::vector<double>> &load, Duration copyBudget);
-    bool restNeeded(std::optional<Duration> calm, double imbalance);
-    boost::asio::awaitable<void> leave();
-    boost::asio::awaitable<void> change(ExpertPlan plan);
-    boost::asio::awaitable<void> drive(Duration copyTime, bool helping);
-    /** False if a rank did not accept its order. */
+    boost::asio::awaitable<ExpertPlan> computePlan(const std::vector<std::vector<double>> &load, Duration copyBudget);
+    bool remainingCopiesNeeded(std::optional<Duration> baseline, double imbalance);
+    boost::asio::awaitable<void> releaseLease();
+    boost::asio::awaitable<void> applyPlan(ExpertPlan plan);
+    boost::asio::awaitable<void> driveSwitch(Duration copyTime, bool assisting);
+    /** Returns false if any rank did not accept its order. */
     boost::asio::awaitable<bool> sendOrders(std::vector<AddressedOrder> orders);
-    boost::asio::awaitable<bool> readPass();
-    void notePass(std::uint64_t pass);
-    std::optional<std::uint64_t> passNow() const;
-    void choosePass(unsigned refusals);
+    boost::asio::awaitable<bool> readCurrentPass();
+    void recordPass(std::uint64_t pass);
+    std::optional<std::uint64_t> estimateCurrentPass() const;
+    void chooseHoldPass(unsigned refusals);
     boost::asio::awaitable<void> sleep(Duration duration);
-    boost::asio::awaitable<void> sendOne(unsigned rank, RankOrder order, std::shared_ptr<Gather> gather);
-    boost::asio::awaitable<void> reportOne(unsigned index, std::shared_ptr<Gather> gather);
-    boost::asio::awaitable<void> placementOne(unsigned index, std::shared_ptr<Gather> gather);
-    boost::asio::awaitable<void> countsOne(unsigned index, std::shared_ptr<Gather> gather);
-    boost::asio::awaitable<void> waitFor(std::shared_ptr<Gather> gather);
-    bool standsStill() const;
-    bool paceTurned();
+    boost::asio::awaitable<void> sendOrder(unsigned rank, RankOrder order, std::shared_ptr<ParallelCalls> calls);
+    boost::asio::awaitable<void> readOneReport(unsigned index, std::shared_ptr<ParallelCalls> calls);
+    boost::asio::awaitable<void> readOnePlacement(unsigned index, std::shared_ptr<ParallelCalls> calls);
+    boost::asio::awaitable<void> readOneCounts(unsigned index, std::shared_ptr<ParallelCalls> calls);
+    boost::asio::awaitable<void> waitForCalls(std::shared_ptr<ParallelCalls> calls);
+    bool isStalled() const;
+    bool shouldReadCounts();
     std::optional<EngineSpec> engine() const;
 
     boost::asio::io_context &m_context;
@@ -84,34 +86,34 @@
     const std::string m_pool;
     const std::string m_group;
     const std::string m_leaseName;
-    EngineSpec m_engine; ///< as the configuration last had it; a change must not pull it away from under a switch
+    EngineSpec m_engine; ///< copied from the configuration once per loop, so that a reload does not change it during a switch
     GroupLease m_lease;
     GroupSwitch m_switch;
     ExpertLoad m_load;
-    std::vector<TargetInfo> m_ranks; ///< in rank order, of the last complete reports
+    std::vector<TargetInfo> m_ranks; ///< in rank order, from the last complete read of reports
     std::vector<RankReport> m_reports; ///< in rank order
     TimePoint m_reportsAt{};
-    std::vector<double> m_paces; ///< of the ranks, in rank order; 1 for those that are not slow
-    TimePoint m_pacesAt{}; ///< when they were read
-    std::vector<std::string> m_slowTargets; ///< as the lease's record last said
-    TimePoint m_unknownLook{}; ///< when the map in use was last asked for in vain
-    unsigned m_unreached = 0; ///< listed ranks that the last reading of reports got no answer from
-    std::uint64_t m_pass = 0; ///< the newest that is known to have begun
-    TimePoint m_passAt{}; ///< when that became known
-    std::uint64_t m_switchPass = 0; ///< as which the last switch comes into force
-    TimePoint m_switchGo{}; ///< when that pass was let go
-    std::uint64_t m_knownEpoch = 0; ///< of m_map
-    std::uint64_t m_knownVersion = 0; ///< of m_map
+    std::vector<double> m_slowdowns; ///< by rank; 1 for ranks that are not slow
+    TimePoint m_slowdownsReadAt{};
+    std::vector<std::string> m_slowTargets; ///< applied last, from the lease record
+    TimePoint m_lastMapReadAttempt{}; ///< last attempt of the leader to read a map that it does not know
+    unsigned m_unreachableRanks = 0; ///< listed ranks that did not answer the last read of reports
+    std::uint64_t m_latestPass = 0; ///< newest pass that is known to have begun
+    TimePoint m_latestPassAt{}; ///< when m_latestPass was learned
+    std::uint64_t m_switchPass = 0; ///< pass with which the last switch takes effect
+    TimePoint m_switchDoneAt{}; ///< when all ranks had released that pass
+    std::uint64_t m_mapEpoch = 0; ///< of m_map
+    std::uint64_t m_mapVersion = 0; ///< of m_map
     bool m_mapKnown = false;
     GroupMap m_map;
-    std::uint64_t m_switches = 0; ///< of this process; with the term it makes versions unique
+    std::uint64_t m_switchesBegun = 0; ///< by this process; combined with the term ID into unique map versions
     TimePoint m_lastOrder{};
-    DemandShiftDetector m_pace;
+    DemandShiftDetector m_shiftDetector;
     bool m_wasLeader = false;
     bool m_ended = false;
-    TimePoint m_lastMember{}; ///< when the group last had a member
-    TimePoint m_blindLook{}; ///< when a pass was last asked for, for want of streams here
-    std::uint64_t m_blindPass = 0;
+    TimePoint m_lastMemberAt{}; ///< when the group last had a listed member
+    TimePoint m_lastPassCheck{}; ///< last read of the pass number while this host had no streams of the group
+    std::uint64_t m_checkedPass = 0; ///< result of that read; 0: none yet
     Counters::Id m_switchesDone;
     Counters::Id m_switchesGivenUp;
     Counters::Id m_copies;
--- a/fulmarlink/grouplease.cpp
+++ b/fulmarlink/grouplease.cpp
@@ -15,8 +15,8 @@
 namespace
 {
 
-constexpr Duration kRound = std::chrono::milliseconds(50); ///< of looking whether a call is due; adds to the time in which a lease changes hands
-constexpr Duration kCallPoll = std::chrono::milliseconds(10); ///< while an answer of the store is awaited before the lease is left
+constexpr Duration kStepInterval = std::chrono::milliseconds(50); ///< interval of checks for a due call; adds to the time of a lease handover
+constexpr Duration kPendingCallPoll = std::chrono::milliseconds(10); ///< while a release waits for a call in progress
 
 } // namespace
 
@@ -25,7 +25,7 @@
     , m_state(state)
     , m_platform(platform)
     , m_name(name)
-    , m_keeper(std::move(options))
+    , m_elector(std::move(options))
 {
 }
 
@@ -38,27 +38,27 @@
 
 asio::awaitable<void> GroupLease::step()
 {
-    const LeaseElector::Step next = m_keeper.step(m_state.clock.now());
-    m_calling = next != LeaseElector::Step::Wait;
+    const LeaseElector::Step next = m_elector.step(m_state.clock.now());
+    m_callPending = next != LeaseElector::Step::Wait;
     if (next == LeaseElector::Step::Read || next == LeaseElector::Step::Poll) {
         const LeaseRead read = co_await m_platform.readLease(m_name, next == LeaseElector::Step::Poll);
-        m_keeper.handleRead(read, m_state.clock.now());
+        m_elector.handleRead(read, m_state.clock.now());
     } else if (next == LeaseElector::Step::Write) {
-        const TimePoint began = m_state.clock.now();
-        const LeaseRead written = co_await m_platform.writeLease(m_name, m_keeper.nextRecord());
-        m_keeper.handleWrite(written, began, m_state.clock.now());
+        const TimePoint sentAt = m_state.clock.now();
+        const LeaseRead written = co_await m_platform.writeLease(m_name, m_elector.nextRecord());
+        m_elector.handleWrite(written, sentAt, m_state.clock.now());
     }
-    m_calling = false;
+    m_callPending = false;
 }
 
 asio::awaitable<void> GroupLease::run()
 {
     m_running = true;
     while (!m_state.drainBegan && !m_stopped) {
-        if (!m_leaving) {
+        if (!m_releasing) {
             co_await step();
         }
-        co_await sleep(kRound);
+        co_await sleep(kStepInterval);
     }
     m_running = false;
 }
@@ -78,39 +78,39 @@
 
 asio::awaitable<void> GroupLease::release(Duration pause)
 {
-    m_leaving = true;
-    while (m_calling) {
-        co_await sleep(kCallPoll); // what is given back must be the newest record
+    m_releasing = true;
+    while (m_callPending) {
+        co_await sleep(kPendingCallPoll); // a release must be based on the newest record
     }
-    const LeaseRecord released = m_keeper.releasedRecord();
-    m_keeper.standDown(m_state.clock.now() + pause);
+    const LeaseRecord released = m_elector.releasedRecord();
+    m_elector.standDown(m_state.clock.now() + pause);
     co_await m_platform.writeLease(m_name, released);
-    m_leaving = false;
+    m_releasing = false;
 }
 
 void GroupLease::setAcquireDelay(Duration acquireDelay)
 {
-    m_keeper.setAcquireDelay(acquireDelay);
+    m_elector.setAcquireDelay(acquireDelay);
 }
 
 void GroupLease::setSlowTargets(std::vector<std::string> ids)
 {
-    m_keeper.setSlowTargets(std::move(ids));
+    m_elector.setSlowTargets(std::move(ids));
 }
 
 bool GroupLease::holds() const
 {
-    return m_keeper.holds(m_state.clock.now());
+    return m_elector.holds(m_state.clock.now());
 }
 
 std::uint64_t GroupLease::termId() const
 {
-    return m_keeper.termId();
+    return m_elector.termId();
 }
 
 const LeaseRecord &GroupLease::record() const
 {
-    return m_keeper.record();
+    return m_elector.record();
 }
 
 } // namespace fulmarlink
--- a/fulmarlink/grouplease.h
+++ b/fulmarlink/grouplease.h
@@ -12,30 +12,30 @@
 struct GatewayState;
 
 /**
- * Keeps one host's side of the lease of a rank group in the platform's store.
+ * Maintains one host's part in the lease of a rank group in the platform's store.
  *
- * It runs beside the work that the lease allows: a renewal that the store leaves
- * unanswered takes 0.7 s, and the holder goes on until its term ends.
+ * It runs concurrently with the work that the lease protects: a renewal that the store does
+ * not answer takes 0.7 s, and the holder keeps working until the lease expires.
  *
- * How to use: run() once; it ends soon after stop(), or when the process begins to drain. Not thread-safe.
+ * Usage: call run() once; it ends soon after stop(), or when the process starts to drain. Not thread-safe.
  */
 class GroupLease
 {
 public:
-    /** @p state, @p platform and @p name, the lease's, outlive it. */
+    /** @p state, @p platform and the lease's @p name must outlive this object. */
     GroupLease(boost::asio::io_context &context, const GatewayState &state, Platform &platform, const std::string &name, LeaseOptions options);
 
     boost::asio::awaitable<void> run();
-    /** Gives back a lease that is held, and ends run(). */
+    /** Releases the lease if it is held, and ends run(). See release() for @p pause. */
     boost::asio::awaitable<void> stop(Duration pause);
-    /** run() has ended, or was never begun: nothing uses this object any more. */
+    /** True if run() has ended or was never started, so that the object may be destroyed. */
     bool ended() const;
-    /** Gives the lease back and does not take it again for @p pause. */
+    /** Releases the lease and does not acquire it again for @p pause. */
     boost::asio::awaitable<void> release(Duration pause);
-    /** How long this host lets others come first; see LeaseOptions. */
+    /** See LeaseOptions::acquireDelay. */
     void setAcquireDelay(Duration acquireDelay);
 
-    /** Tells the other hosts which ranks are slow. */
+    /** Publishes the slow ranks to the other hosts in the lease record. */
     void setSlowTargets(std::vector<std::string> ids);
 
     bool holds() const;
@@ -50,9 +50,9 @@
     const GatewayState &m_state;
     Platform &m_platform;
     const std::string &m_name;
-    LeaseElector m_keeper;
-    bool m_calling = false; ///< a call to the store is unanswered
-    bool m_leaving = false; ///< no step begins
+    LeaseElector m_elector;
+    bool m_callPending = false; ///< a call to the store is in progress
+    bool m_releasing = false; ///< run() starts no step
     bool m_stopped = false;
     bool m_running = false;
 };
--- a/fulmarlink/groupwatch.cpp
+++ b/fulmarlink/groupwatch.cpp
@@ -20,26 +20,26 @@
 namespace
 {
 
-constexpr Duration kRound = std::chrono::milliseconds(200); ///< the age of a report; a runner that is new waits so long for its group
-constexpr Duration kReadAll
-    = std::chrono::seconds(8); ///< 64 reports from each of 16 hosts are 128 a second; a group that forms anew is out of work for 2 s before
+constexpr Duration kPollInterval = std::chrono::milliseconds(200); ///< equals the age of a report; upper bound on how long a new runner waits for its group
+constexpr Duration kFullReadInterval
+    = std::chrono::seconds(8); ///< 64 runners read by 16 hosts are 128 reads/s; a group that re-forms gets no requests for 2 s before
 
 } // namespace
 
-/** Reports that are read at the same time; the last one wakes the reader. */
-struct GroupWatch::Reading {
-    Reading(asio::io_context &context, std::vector<TargetInfo> theTargets)
+/** Reports that are read in parallel; the last answer wakes the reader. */
+struct GroupWatch::ReportBatch {
+    ReportBatch(asio::io_context &context, std::vector<TargetInfo> theTargets)
         : timer(context, asio::steady_timer::time_point::max())
         , targets(std::move(theTargets))
         , reports(targets.size())
-        , open(targets.size())
+        , pending(targets.size())
     {
     }
 
     asio::steady_timer timer;
     std::vector<TargetInfo> targets;
     std::vector<RankReportRead> reports;
-    std::size_t open;
+    std::size_t pending;
 };
 
 GroupWatch::GroupWatch(asio::io_context &context, GatewayState &state, Platform &platform, std::string pool)
@@ -57,66 +57,66 @@
     boost::system::error_code ignored; // the timer is not cancelled
     asio::steady_timer timer(m_context);
     while (!m_state.drainBegan) {
-        const std::vector<TargetInfo> targets = due();
+        const std::vector<TargetInfo> targets = runnersToRead();
         if (!targets.empty()) {
             co_await readReports(targets);
         }
-        keepMaps();
-        timer.expires_after(kRound);
+        updateControllers();
+        timer.expires_after(kPollInterval);
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
 }
 
-/** Runners whose group is not known, or all of them when that is due. */
-std::vector<TargetInfo> GroupWatch::due()
+/** Listed runners whose group is unknown, or all of them when a full read is due; without those that back off. */
+std::vector<TargetInfo> GroupWatch::runnersToRead()
 {
     std::vector<TargetInfo> listed = m_state.targets.listed(m_pool);
     const TimePoint now = m_state.clock.now();
     std::erase_if(listed, [&](const TargetInfo &target) {
         return m_state.signals.exclusion({target.id, target.born}, 0, now) == RunnerExclusion::BackingOff;
     });
-    if (now - m_readAll >= kReadAll) {
-        m_readAll = now;
+    if (now - m_lastFullRead >= kFullReadInterval) {
+        m_lastFullRead = now;
         return listed;
     }
     std::erase_if(listed, [&](const TargetInfo &target) {
-        const auto it = m_placed.find(target.id);
-        return it != m_placed.end() && it->second == target.born;
+        const auto it = m_recordedStarts.find(target.id);
+        return it != m_recordedStarts.end() && it->second == target.born;
     });
     return listed;
 }
 
-asio::awaitable<void> GroupWatch::readOne(unsigned index, std::shared_ptr<Reading> reading)
+asio::awaitable<void> GroupWatch::readOneReport(unsigned index, std::shared_ptr<ReportBatch> batch)
 {
-    reading->reports[index] = co_await m_platform.readRankReport(reading->targets[index]);
-    if (--reading->open == 0) {
-        reading->timer.cancel();
+    batch->reports[index] = co_await m_platform.readRankReport(batch->targets[index]);
+    if (--batch->pending == 0) {
+        batch->timer.cancel();
     }
 }
 
 asio::awaitable<void> GroupWatch::readReports(std::vector<TargetInfo> targets)
 {
-    const auto reading = std::make_shared<Reading>(m_context, std::move(targets));
-    for (unsigned i = 0; i < reading->targets.size(); ++i) {
-        asio::co_spawn(m_context, readOne(i, reading), asio::detached);
+    const auto batch = std::make_shared<ReportBatch>(m_context, std::move(targets));
+    for (unsigned i = 0; i < batch->targets.size(); ++i) {
+        asio::co_spawn(m_context, readOneReport(i, batch), asio::detached);
     }
-    boost::system::error_code ignored; // cancelled when the last call has ended
-    if (reading->open > 0) {
-        co_await reading->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+    boost::system::error_code ignored; // the last call cancels the timer
+    if (batch->pending > 0) {
+        co_await batch->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
-    note(reading->targets, reading->reports);
+    recordGroups(batch->targets, batch->reports);
 }
 
-void GroupWatch::note(const std::vector<TargetInfo> &targets, const std::vector<RankReportRead> &reports)
+void GroupWatch::recordGroups(const std::vector<TargetInfo> &targets, const std::vector<RankReportRead> &reports)
 {
     for (unsigned i = 0; i < targets.size(); ++i) {
         const RankReportRead &read = reports[i];
-        const bool inNone = read.error == ResultCode::ObjectNotFound;
-        if (read.error && !inNone) {
-            continue; // it is asked again
+        const bool ungrouped = read.error == ResultCode::ObjectNotFound;
+        if (read.error && !ungrouped) {
+            continue; // retried in the next round
         }
-        m_state.targets.setGroup(targets[i].id, inNone ? std::string() : read.report.group);
-        m_placed[targets[i].id] = targets[i].born;
+        m_state.targets.setGroup(targets[i].id, ungrouped ? std::string() : read.report.group);
+        m_recordedStarts[targets[i].id] = targets[i].born;
     }
     logGroups();
 }
@@ -127,7 +127,7 @@
     for (const TargetInfo &target : m_state.targets.listed(m_pool)) {
         ++members[m_state.targets.groupOf(target.id)];
     }
-    if (members == m_members) {
+    if (members == m_loggedMembers) {
         return;
     }
     std::string text;
@@ -135,40 +135,41 @@
         text += (text.empty() ? "" : ",") + (group.empty() ? "none" : group) + ':' + std::to_string(count);
     }
     logChange("groups-changed", {{"pool", m_pool}, {"members", text}});
-    m_members = std::move(members);
+    m_loggedMembers = std::move(members);
 }
 
-void GroupWatch::keepMaps()
+void GroupWatch::updateControllers()
 {
     std::set<std::string> listed;
     for (const TargetInfo &target : m_state.targets.listed(m_pool)) {
         listed.insert(target.id);
         const std::string &group = m_state.targets.groupOf(target.id);
-        if (!group.empty() && !m_keepers.contains(group)) {
-            startKeeper(group);
+        if (!group.empty() && !m_controllers.contains(group)) {
+            startController(group);
         }
     }
-    std::erase_if(m_placed, [&](const auto &entry) {
+    std::erase_if(m_recordedStarts, [&](const auto &entry) {
         return !listed.contains(entry.first);
     });
-    std::erase_if(m_keepers, [](const auto &entry) {
+    std::erase_if(m_controllers, [](const auto &entry) {
         return entry.second->ended();
     });
 }
 
-void GroupWatch::startKeeper(const std::string &group)
+void GroupWatch::startController(const std::string &group)
 {
-    const auto keeper = std::make_shared<ExpertMapController>(m_context, m_state, m_platform, m_pool, group);
-    m_keepers.emplace(group, keeper);
-    asio::co_spawn(m_context, keeper->run(), [this, keeper](const std::exception_ptr &error) { // it lives as long as its loop
-        if (!error) {
-            return;
-        }
-        // Rethrown it would end this process, and then that of the host which takes the lease next. The keeper gives its lease back and is replaced.
-        logWarning("map-keeper-broke-off", {{"pool", m_pool}, {"error", whatOf(error)}});
-        asio::co_spawn(m_context, keeper->end(), [keeper](const std::exception_ptr & /*it only writes the lease*/) {
+    const auto controller = std::make_shared<ExpertMapController>(m_context, m_state, m_platform, m_pool, group);
+    m_controllers.emplace(group, controller);
+    asio::co_spawn(
+        m_context, controller->run(), [this, controller](const std::exception_ptr &error) { // the handler keeps the controller alive until run() ends
+            if (!error) {
+                return;
+            }
+            // Rethrowing would terminate this process and then that of each host that acquires the lease. The controller releases its lease and is replaced.
+            logWarning("map-keeper-broke-off", {{"pool", m_pool}, {"error", whatOf(error)}});
+            asio::co_spawn(m_context, controller->end(), [controller](const std::exception_ptr & /*it only writes the lease*/) {
+            });
         });
-    });
 }
 
 } // namespace fulmarlink
--- a/fulmarlink/groupwatch.h
+++ b/fulmarlink/groupwatch.h
@@ -20,15 +20,15 @@
 struct TargetInfo;
 
 /**
- * Learns which rank groups the runners of a pool form, by their own reports, and keeps a
- * ExpertMapController for each group. Every entry does so: which runners stall together decides
- * where a request may go.
+ * Discovers the rank groups of a pool from the runners' reports and runs an
+ * ExpertMapController for each group. Every host does so, because routing depends on which
+ * runners stall together.
  *
- * Reports are read when a runner is listed for the first time or again, and all of them
- * now and then, since groups may form anew with other members.
+ * A runner's report is read when the runner is newly listed, listed again or has restarted;
+ * all reports are read again at an interval, because groups may re-form with other members.
  *
- * How to use: run() once for each pool with experts; it ends when the process begins to
- * leave. Not thread-safe.
+ * Usage: call run() once for each pool with experts; it ends when the process starts to
+ * drain. Not thread-safe.
  */
 class GroupWatch
 {
@@ -39,24 +39,24 @@
     boost::asio::awaitable<void> run();
 
 private:
-    struct Reading;
+    struct ReportBatch;
 
-    std::vector<TargetInfo> due();
+    std::vector<TargetInfo> runnersToRead();
     boost::asio::awaitable<void> readReports(std::vector<TargetInfo> targets);
-    boost::asio::awaitable<void> readOne(unsigned index, std::shared_ptr<Reading> reading);
-    void note(const std::vector<TargetInfo> &targets, const std::vector<RankReportRead> &reports);
+    boost::asio::awaitable<void> readOneReport(unsigned index, std::shared_ptr<ReportBatch> batch);
+    void recordGroups(const std::vector<TargetInfo> &targets, const std::vector<RankReportRead> &reports);
     void logGroups();
-    void keepMaps();
-    void startKeeper(const std::string &group);
+    void updateControllers();
+    void startController(const std::string &group);
 
     boost::asio::io_context &m_context;
     GatewayState &m_state;
     Platform &m_platform;
     const std::string m_pool;
-    std::map<std::string, std::uint64_t> m_placed; ///< ids of runners whose group is known, with their start
-    std::map<std::string, unsigned> m_members; ///< of each group, as logged last
-    std::map<std::string, std::shared_ptr<ExpertMapController>> m_keepers; ///< by group
-    TimePoint m_readAll{}; ///< when all reports were last read
+    std::map<std::string, std::uint64_t> m_recordedStarts; ///< start of each runner whose group is known, by its ID
+    std::map<std::string, unsigned> m_loggedMembers; ///< member count by group, as last logged
+    std::map<std::string, std::shared_ptr<ExpertMapController>> m_controllers; ///< by group
+    TimePoint m_lastFullRead{}; ///< when all reports were last read
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/leaseelector.cpp
+++ b/fulmarlink/leaseelector.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr Duration kReadInterval = std::chrono::milliseconds(600); ///< of those that wait for the lease
+constexpr Duration kPollInterval = std::chrono::milliseconds(600); ///< of hosts that wait for the lease
 
 } // namespace
 
@@ -20,24 +20,24 @@
 
 LeaseElector::Step LeaseElector::step(TimePoint now) const
 {
-    if (!m_known) {
+    if (!m_recordKnown) {
         return Step::Read;
     }
     if (m_holding) {
-        return (m_slowTargets && *m_slowTargets != m_seen.slowTargets) || now - m_renewed >= m_options.renewInterval ? Step::Write : Step::Wait;
+        return (m_slowTargets && *m_slowTargets != m_record.slowTargets) || now - m_renewedAt >= m_options.renewInterval ? Step::Write : Step::Wait;
     }
-    const bool own = m_seen.holder == m_options.self; // of an earlier start of this process
-    const bool free = m_seen.revision == 0 || m_seen.holder.empty();
+    const bool heldBySelf = m_record.holder == m_options.self; // from before a restart of this process
+    const bool free = m_record.revision == 0 || m_record.holder.empty();
     const Duration wait = m_options.acquireDelay + (free ? Duration(0) : m_options.takeoverTimeout);
-    if (now >= m_yieldedUntil && (own || now - m_seenChanged >= wait)) {
+    if (now >= m_standDownUntil && (heldBySelf || now - m_recordChangedAt >= wait)) {
         return Step::Write;
     }
-    return now - m_lastRead >= kReadInterval ? Step::Poll : Step::Wait;
+    return now - m_lastReadAt >= kPollInterval ? Step::Poll : Step::Wait;
 }
 
 LeaseRecord LeaseElector::nextRecord() const
 {
-    LeaseRecord record = m_seen;
+    LeaseRecord record = m_record;
     record.holder = m_options.self;
     ++record.renewals;
     if (m_holding && m_slowTargets && !mutated(Mutation::LoseSlowRanks)) {
@@ -53,7 +53,7 @@
 
 LeaseRecord LeaseElector::releasedRecord() const
 {
-    LeaseRecord record = m_seen;
+    LeaseRecord record = m_record;
     record.holder.clear();
     ++record.renewals;
     return record;
@@ -61,42 +61,42 @@
 
 void LeaseElector::handleRead(const LeaseRead &read, TimePoint now)
 {
-    m_lastRead = now;
+    m_lastReadAt = now;
     if (read.error) {
         return;
     }
-    if (!m_known || read.record.revision != m_seen.revision) {
-        m_seenChanged = now;
+    if (!m_recordKnown || read.record.revision != m_record.revision) {
+        m_recordChangedAt = now;
     }
-    m_known = true;
-    m_seen = read.record;
+    m_recordKnown = true;
+    m_record = read.record;
     m_holding = m_holding && read.record.holder == m_options.self;
 }
 
-void LeaseElector::handleWrite(const LeaseRead &written, TimePoint began, TimePoint now)
+void LeaseElector::handleWrite(const LeaseRead &written, TimePoint sentAt, TimePoint now)
 {
     if (written.error) {
-        m_known = false; // what the store holds must be read again: the write may have taken effect
+        m_recordKnown = false; // the write may have taken effect, so the stored record must be read again
         m_holding = m_holding && written.error != ResultCode::VersionConflict;
         return;
     }
-    const bool lapsed = began - m_renewed >= m_options.leaseDuration && !mutated(Mutation::KeepTerm);
-    if (!m_holding || lapsed) { // it had lapsed: somebody else may have held it meanwhile
-        m_term = written.record.revision;
+    const bool lapsed = sentAt - m_renewedAt >= m_options.leaseDuration && !mutated(Mutation::KeepTerm);
+    if (!m_holding || lapsed) { // after an expiry another host may have held the lease
+        m_termId = written.record.revision;
         m_slowTargets.reset();
     }
     m_holding = true;
-    m_seen = written.record;
-    m_seenChanged = now;
-    m_renewed = began;
+    m_record = written.record;
+    m_recordChangedAt = now;
+    m_renewedAt = sentAt;
 }
 
 void LeaseElector::standDown(TimePoint until)
 {
     m_holding = false;
     m_slowTargets.reset();
-    m_known = false;
-    m_yieldedUntil = until;
+    m_recordKnown = false;
+    m_standDownUntil = until;
 }
 
 void LeaseElector::setAcquireDelay(Duration acquireDelay)
@@ -106,17 +106,17 @@
 
 bool LeaseElector::holds(TimePoint now) const
 {
-    return m_holding && now - m_renewed < m_options.leaseDuration;
+    return m_holding && now - m_renewedAt < m_options.leaseDuration;
 }
 
 std::uint64_t LeaseElector::termId() const
 {
-    return m_term;
+    return m_termId;
 }
 
 const LeaseRecord &LeaseElector::record() const
 {
-    return m_seen;
+    return m_record;
 }
 
 } // namespace fulmarlink
--- a/testing/demandshiftdetector_test.cpp
+++ b/testing/demandshiftdetector_test.cpp
@@ -13,9 +13,9 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kCalm(60);
-constexpr milliseconds kSlow(150);
-constexpr milliseconds kTarget(150);
+constexpr milliseconds kBaseline(60);
+constexpr milliseconds kSlowPass(150);
+constexpr milliseconds kGapTarget(150);
 
 TimePoint at(milliseconds time)
 {
@@ -23,12 +23,12 @@
 }
 
 /** A group whose passes end every kCalm until the last calm end, with looks each 20 ms. */
-milliseconds playCalm(DemandShiftDetector &watch, milliseconds length)
+milliseconds simulateSteadyPasses(DemandShiftDetector &detector, milliseconds length)
 {
     milliseconds lastEvent(0);
     for (milliseconds now(0); now <= length; now += milliseconds(20)) {
-        lastEvent = now / kCalm * kCalm;
-        EXPECT_FALSE(watch.countsDue({kCalm, at(lastEvent), kTarget}, at(now))) << now.count();
+        lastEvent = now / kBaseline * kBaseline;
+        EXPECT_FALSE(detector.countsDue({kBaseline, at(lastEvent), kGapTarget}, at(now))) << now.count();
     }
     return lastEvent;
 }
@@ -37,11 +37,11 @@
 
 TEST(DemandShiftDetector, ASlowPassIsNoticedBeforeItEnds)
 {
-    DemandShiftDetector watch;
-    watch.restart(at(milliseconds(0)));
-    const milliseconds lastEvent = playCalm(watch, milliseconds(1200));
+    DemandShiftDetector detector;
+    detector.restart(at(milliseconds(0)));
+    const milliseconds lastEvent = simulateSteadyPasses(detector, milliseconds(1200));
     milliseconds now = lastEvent;
-    while (!watch.countsDue({kCalm, at(lastEvent), kTarget}, at(now)) && now < lastEvent + kSlow) {
+    while (!detector.countsDue({kBaseline, at(lastEvent), kGapTarget}, at(now)) && now < lastEvent + kSlowPass) {
         now += milliseconds(20);
     }
     EXPECT_LE(now - lastEvent, milliseconds(110));
@@ -49,47 +49,47 @@
 
 TEST(DemandShiftDetector, AGroupOfCalmPassesIsLeftAloneUntilTheLongestRest)
 {
-    DemandShiftDetector watch;
-    watch.restart(at(milliseconds(0)));
-    const milliseconds lastEvent = playCalm(watch, milliseconds(4980));
-    EXPECT_TRUE(watch.countsDue({kCalm, at(lastEvent + kCalm), kTarget}, at(milliseconds(5020))));
+    DemandShiftDetector detector;
+    detector.restart(at(milliseconds(0)));
+    const milliseconds lastEvent = simulateSteadyPasses(detector, milliseconds(4980));
+    EXPECT_TRUE(detector.countsDue({kBaseline, at(lastEvent + kBaseline), kGapTarget}, at(milliseconds(5020))));
 }
 
 TEST(DemandShiftDetector, APauseFarBelowTheTargetNeedsNoSwitch)
 {
-    DemandShiftDetector watch;
-    watch.restart(at(milliseconds(0)));
-    EXPECT_FALSE(watch.countsDue({milliseconds(20), at(milliseconds(990)), kTarget}, at(milliseconds(1000))));
-    EXPECT_FALSE(watch.countsDue({milliseconds(40), at(milliseconds(990)), kTarget}, at(milliseconds(1100))));
+    DemandShiftDetector detector;
+    detector.restart(at(milliseconds(0)));
+    EXPECT_FALSE(detector.countsDue({milliseconds(20), at(milliseconds(990)), kGapTarget}, at(milliseconds(1000))));
+    EXPECT_FALSE(detector.countsDue({milliseconds(40), at(milliseconds(990)), kGapTarget}, at(milliseconds(1100))));
 }
 
 TEST(DemandShiftDetector, SlowerMeansCountAsTurnedAndARestartForgetsThem)
 {
-    DemandShiftDetector watch;
-    watch.restart(at(milliseconds(0)));
-    playCalm(watch, milliseconds(1200));
-    EXPECT_TRUE(watch.countsDue({milliseconds(80), at(milliseconds(1210)), kTarget}, at(milliseconds(1220))));
-    watch.restart(at(milliseconds(1220)));
-    EXPECT_FALSE(watch.baselineInterval());
-    EXPECT_FALSE(watch.countsDue({milliseconds(80), at(milliseconds(1600)), kTarget}, at(milliseconds(1610))));
+    DemandShiftDetector detector;
+    detector.restart(at(milliseconds(0)));
+    simulateSteadyPasses(detector, milliseconds(1200));
+    EXPECT_TRUE(detector.countsDue({milliseconds(80), at(milliseconds(1210)), kGapTarget}, at(milliseconds(1220))));
+    detector.restart(at(milliseconds(1220)));
+    EXPECT_FALSE(detector.baselineInterval());
+    EXPECT_FALSE(detector.countsDue({milliseconds(80), at(milliseconds(1600)), kGapTarget}, at(milliseconds(1610))));
 }
 
 TEST(DemandShiftDetector, AHostWithoutStreamsLooksSeldom)
 {
-    DemandShiftDetector watch;
-    watch.restart(at(milliseconds(0)));
-    EXPECT_FALSE(watch.countsDue({std::nullopt, TimePoint{}, kTarget}, at(milliseconds(11'900))));
-    EXPECT_TRUE(watch.countsDue({std::nullopt, TimePoint{}, kTarget}, at(milliseconds(12'100))));
+    DemandShiftDetector detector;
+    detector.restart(at(milliseconds(0)));
+    EXPECT_FALSE(detector.countsDue({std::nullopt, TimePoint{}, kGapTarget}, at(milliseconds(11'900))));
+    EXPECT_TRUE(detector.countsDue({std::nullopt, TimePoint{}, kGapTarget}, at(milliseconds(12'100))));
 }
 
 // The load: a group so full that every pass is late, with the right map and with the wrong
 // one; a turn then lengthens passes by less than kSlowdown.
 TEST(DemandShiftDetector, WhileStreamsAreLateTheCountsAreLookedAtSooner)
 {
-    DemandShiftDetector watch;
-    watch.restart(at(milliseconds(0)));
-    EXPECT_FALSE(watch.countsDue({milliseconds(170), at(milliseconds(390)), kTarget}, at(milliseconds(400))));
-    EXPECT_TRUE(watch.countsDue({milliseconds(180), at(milliseconds(1090)), kTarget}, at(milliseconds(1100))));
+    DemandShiftDetector detector;
+    detector.restart(at(milliseconds(0)));
+    EXPECT_FALSE(detector.countsDue({milliseconds(170), at(milliseconds(390)), kGapTarget}, at(milliseconds(400))));
+    EXPECT_TRUE(detector.countsDue({milliseconds(180), at(milliseconds(1090)), kGapTarget}, at(milliseconds(1100))));
 }
 
 // The load: a rank works at a twelfth of its speed; the passes are far longer than any turn makes them.
--- a/testing/expertmapcontroller_test.cpp
+++ b/testing/expertmapcontroller_test.cpp
@@ -54,17 +54,17 @@
             state->targets.setGroup(target.id, "g");
         }
         group->start([this](Duration length) {
-            noteEvents(length);
+            recordEvents(length);
         });
-        keeper = std::make_shared<ExpertMapController>(context, *state, *group, "model", "g");
-        asio::co_spawn(context, keeper->run(), asio::detached);
+        controller = std::make_shared<ExpertMapController>(context, *state, *group, "model", "g");
+        asio::co_spawn(context, controller->run(), asio::detached);
     }
 
     /** What the streams of a pass tell the gate. */
-    void noteEvents(Duration length)
+    void recordEvents(Duration length)
     {
         constexpr unsigned kStreams = 8;
-        if (!streamsHere) {
+        if (!hasLocalStreams) {
             return;
         }
         PoolGate &gate = state->pool("model").gate("g");
@@ -93,7 +93,7 @@
         }
     }
 
-    bool streamsHere = true;
+    bool hasLocalStreams = true;
     asio::io_context context;
     HostClock clock;
     Counters counters;
@@ -101,7 +101,7 @@
     GatewaySettings settings;
     std::unique_ptr<GatewayState> state;
     std::unique_ptr<FakeGroup> group;
-    std::shared_ptr<ExpertMapController> keeper;
+    std::shared_ptr<ExpertMapController> controller;
 };
 
 } // namespace
@@ -130,15 +130,15 @@
             return group->lease.holder == "entry";
         },
         5s));
-    EXPECT_FALSE(keeper->ended());
+    EXPECT_FALSE(controller->ended());
     state->drainBegan = clock.now();
     ASSERT_TRUE(runUntil(
         [this] {
-            return keeper->ended();
+            return controller->ended();
         },
         5s));
     EXPECT_TRUE(group->lease.holder.empty());
-    keeper.reset();
+    controller.reset();
     context.run_for(300ms);
 }
 
@@ -219,7 +219,7 @@
         5s));
     context.run_for(500ms);
     EXPECT_EQ(group->lease.holder, "entry");
-    streamsHere = false;
+    hasLocalStreams = false;
     EXPECT_TRUE(runUntil(
         [this] {
             return group->lease.holder.empty();
--- a/testing/leaseelector_test.cpp
+++ b/testing/leaseelector_test.cpp
@@ -41,19 +41,19 @@
     }
 };
 
-LeaseElector keeper(const std::string &name)
+LeaseElector elector(const std::string &name)
 {
     return LeaseElector(LeaseOptions{.self = name});
 }
 
 /** One step of a keeper against the store. */
-void act(LeaseElector &keeper, Store &store, int ms)
+void runStep(LeaseElector &elector, Store &store, int ms)
 {
-    const Step step = keeper.step(at(ms));
+    const Step step = elector.step(at(ms));
     if (step == Step::Write) {
-        keeper.handleWrite(store.write(keeper.nextRecord()), at(ms), at(ms));
+        elector.handleWrite(store.write(elector.nextRecord()), at(ms), at(ms));
     } else if (step != Step::Wait) {
-        keeper.handleRead(store.read(), at(ms));
+        elector.handleRead(store.read(), at(ms));
     }
 }
 
@@ -62,11 +62,11 @@
 TEST(LeaseElector, OneOfManyTakesItAndKeepsIt)
 {
     Store store;
-    std::vector<LeaseElector> keepers = {keeper("a"), keeper("b"), keeper("c")};
+    std::vector<LeaseElector> electors = {elector("a"), elector("b"), elector("c")};
     for (int ms = 0; ms < 20'000; ms += 100) {
         unsigned holders = 0;
-        for (LeaseElector &one : keepers) {
-            act(one, store, ms);
+        for (LeaseElector &one : electors) {
+            runStep(one, store, ms);
             holders += one.holds(at(ms)) ? 1 : 0;
         }
         EXPECT_LE(holders, 1U) << ms;
@@ -80,33 +80,33 @@
 TEST(LeaseElector, ASilentHolderIsReplacedAfterItsOwnClockHasEndedIt)
 {
     Store store;
-    LeaseElector a = keeper("a");
-    LeaseElector b = keeper("b");
-    act(a, store, 0);
-    act(a, store, 1);
-    act(b, store, 2);
-    int taken = 0;
-    for (int ms = 100; ms < 10'000 && taken == 0; ms += 50) {
-        act(b, store, ms);
-        taken = b.holds(at(ms)) ? ms : 0;
+    LeaseElector a = elector("a");
+    LeaseElector b = elector("b");
+    runStep(a, store, 0);
+    runStep(a, store, 1);
+    runStep(b, store, 2);
+    int takenAtMs = 0;
+    for (int ms = 100; ms < 10'000 && takenAtMs == 0; ms += 50) {
+        runStep(b, store, ms);
+        takenAtMs = b.holds(at(ms)) ? ms : 0;
     }
-    ASSERT_GT(taken, 0);
-    EXPECT_FALSE(a.holds(at(taken)));
-    EXPECT_LT(taken, 5000);
-    act(a, store, taken + 100); // wakes and renews: refused
-    EXPECT_FALSE(a.holds(at(taken + 100)));
+    ASSERT_GT(takenAtMs, 0);
+    EXPECT_FALSE(a.holds(at(takenAtMs)));
+    EXPECT_LT(takenAtMs, 5000);
+    runStep(a, store, takenAtMs + 100); // wakes and renews: refused
+    EXPECT_FALSE(a.holds(at(takenAtMs + 100)));
 }
 
 TEST(LeaseElector, ALapsedLeaseBeginsANewTerm)
 {
     Store store;
-    LeaseElector a = keeper("a");
-    act(a, store, 0);
-    act(a, store, 1);
+    LeaseElector a = elector("a");
+    runStep(a, store, 0);
+    runStep(a, store, 1);
     const std::uint64_t term = a.termId();
-    act(a, store, 1000);
+    runStep(a, store, 1000);
     EXPECT_EQ(a.termId(), term);
-    act(a, store, 9000); // after an outage nobody else has taken it
+    runStep(a, store, 9000); // after an outage nobody else has taken it
     EXPECT_TRUE(a.holds(at(9001)));
     EXPECT_GT(a.termId(), term);
 }
@@ -114,34 +114,34 @@
 TEST(LeaseElector, AnAnswerThatWasLostIsReadBackBeforeItIsTrusted)
 {
     Store store;
-    LeaseElector a = keeper("a");
-    act(a, store, 0);
+    LeaseElector a = elector("a");
+    runStep(a, store, 0);
     ASSERT_EQ(a.step(at(1)), Step::Write);
     store.write(a.nextRecord()); // it took effect
     a.handleWrite({ResultCode::StoreAnswerLost, {}}, at(1), at(400));
     EXPECT_FALSE(a.holds(at(400)));
     EXPECT_EQ(a.step(at(401)), Step::Read);
-    act(a, store, 401);
-    act(a, store, 402);
+    runStep(a, store, 401);
+    runStep(a, store, 402);
     EXPECT_TRUE(a.holds(at(403)));
 }
 
 TEST(LeaseElector, AHolderThatYieldsDoesNotTakeItBackAtOnce)
 {
     Store store;
-    LeaseElector a = keeper("a");
-    act(a, store, 0);
-    act(a, store, 1);
+    LeaseElector a = elector("a");
+    runStep(a, store, 0);
+    runStep(a, store, 1);
     const LeaseRecord released = a.releasedRecord();
     a.standDown(at(4000));
     store.write(released);
     for (int ms = 100; ms < 4000; ms += 100) {
-        act(a, store, ms);
+        runStep(a, store, ms);
         EXPECT_FALSE(a.holds(at(ms)));
     }
-    LeaseElector b = keeper("b");
-    act(b, store, 4000);
-    act(b, store, 4001);
+    LeaseElector b = elector("b");
+    runStep(b, store, 4000);
+    runStep(b, store, 4001);
     EXPECT_TRUE(b.holds(at(4002)));
 }
 
@@ -151,14 +151,14 @@
     LeaseElector slow(LeaseOptions{.self = "slow", .acquireDelay = milliseconds(1000)});
     LeaseElector fast(LeaseOptions{.self = "fast", .acquireDelay = milliseconds(100)});
     for (int ms = 0; ms < 2000; ms += 50) {
-        act(slow, store, ms);
-        act(fast, store, ms);
+        runStep(slow, store, ms);
+        runStep(fast, store, ms);
     }
     EXPECT_TRUE(fast.holds(at(2000)));
     EXPECT_FALSE(slow.holds(at(2000)));
     store.write(fast.releasedRecord()); // it leaves, and nobody else comes
     for (int ms = 2000; ms < 4000; ms += 50) {
-        act(slow, store, ms);
+        runStep(slow, store, ms);
     }
     EXPECT_TRUE(slow.holds(at(4000)));
 }
@@ -166,21 +166,21 @@
 TEST(LeaseElector, WhatTheHolderKnowsOfSlowRanksIsWrittenAtOnceAndOutlivesIt)
 {
     Store store;
-    LeaseElector a = keeper("a");
-    act(a, store, 0);
-    act(a, store, 10);
+    LeaseElector a = elector("a");
+    runStep(a, store, 0);
+    runStep(a, store, 10);
     ASSERT_TRUE(a.holds(at(20)));
-    const LeaseRecord underWay = a.nextRecord();
+    const LeaseRecord renewalInFlight = a.nextRecord();
     a.setSlowTargets({"rank-2"});
-    a.handleWrite(store.write(underWay), at(20), at(30)); // a renewal that was sent before does not hide it
+    a.handleWrite(store.write(renewalInFlight), at(20), at(30)); // a renewal that was sent before does not hide it
     EXPECT_EQ(a.step(at(40)), Step::Write);
-    act(a, store, 40);
+    runStep(a, store, 40);
     EXPECT_EQ(store.record.slowTargets, std::vector<std::string>{"rank-2"});
     EXPECT_EQ(a.step(at(50)), Step::Wait);
     store.write(a.releasedRecord());
-    LeaseElector b = keeper("b");
-    act(b, store, 100);
-    act(b, store, 110);
+    LeaseElector b = elector("b");
+    runStep(b, store, 100);
+    runStep(b, store, 110);
     EXPECT_TRUE(b.holds(at(120)));
     EXPECT_EQ(b.record().slowTargets, std::vector<std::string>{"rank-2"});
 }
