--- a/fulmarlink/limitpacer.cpp
+++ b/fulmarlink/limitpacer.cpp
@@ -1,10 +1,10 @@
-// Invariant: `next` is when this host's next slot begins, and it only moves on when a slot is
-// used or the share changes. Slots that pass unused are skipped when they are looked at, so
-// that nothing accrues.
+// Invariant: `next` is the start of this host's next slot. It advances only when a slot is
+// used or the share changes. Slots that expire unused are skipped on lookup, so that unused
+// capacity does not accumulate.
 //
-// A slot may be used late, and the next one begins in its own time all the same, so that the
-// whole share is used; but no sooner than an interval less kMaxCredit after that, which is
-// what bounds the requests of a short time where slots are long.
+// Using a slot late does not delay the next one, so that the whole share can be used. But the
+// next slot starts no sooner than one interval, less kMaxCredit, after that use; this bounds
+// the number of requests in a short time where the interval is long.
 
 #include "fulmarlink/limitpacer.h"
 
@@ -20,17 +20,17 @@
 namespace
 {
 
-constexpr double kMaxCredit = 0.2; ///< of an interval
-constexpr Duration kShortInterval = std::chrono::seconds(1); ///< the credit may be a burst up to here
-constexpr double kMaxPerSecond = 1e5; ///< of one host; more than it can send
-constexpr double kMinShare = 1e-9; ///< requests a second below which a share counts as none
+constexpr double kMaxCredit = 0.2; ///< fraction of an interval
+constexpr Duration kShortInterval = std::chrono::seconds(1); ///< up to this interval, the credit is LimitPacerOptions::burst
+constexpr double kMaxPerSecond = 1e5; ///< per host; more than a host can send
+constexpr double kMinShare = 1e-9; ///< requests per second; a smaller share counts as none
 
 Duration durationFromSeconds(double seconds)
 {
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-/** The order in which hosts come for a runner; the same on all hosts. */
+/** Hosts share a runner's limit in the order of this hash, lowest first; it is the same on all hosts. */
 std::uint64_t rendezvousWeight(const std::string &host, const TargetIncarnation &life)
 {
     const std::string key = host + '\n' + life.id + '\n' + std::to_string(life.born);
@@ -54,14 +54,14 @@
     return std::max(std::min(interval(runner), m_options.maxSlotLifetime), m_options.burst);
 }
 
-/** Begin of the slot that may be used at @p now, or else of the next one. */
+/** Start of the slot that can be used at @p now, or else of the next one. */
 TimePoint LimitPacer::usableSlot(const PacedRunner &runner, TimePoint now) const
 {
-    const Duration late = now - runner.next - slotLifetime(runner);
-    if (late < Duration(0)) {
+    const Duration overdue = now - runner.next - slotLifetime(runner);
+    if (overdue < Duration(0)) {
         return runner.next;
     }
-    return runner.next + interval(runner) * (late / interval(runner) + 1);
+    return runner.next + interval(runner) * (overdue / interval(runner) + 1);
 }
 
 double LimitPacer::computeShare(const TargetIncarnation &life, double perSecond) const
@@ -70,33 +70,34 @@
     if (m_hosts.empty()) {
         return rate / m_options.assumedHosts;
     }
-    const double most = std::max<double>(m_options.maxSharersAtLowRate, rate);
-    const auto sharers = static_cast<std::size_t>(std::min<double>(static_cast<double>(m_hosts.size()), most));
-    const std::uint64_t own = rendezvousWeight(m_self, life);
-    const auto before = static_cast<std::size_t>(std::ranges::count_if(m_hosts, [&](const std::string &host) {
-        return host != m_self && std::pair(rendezvousWeight(host, life), host) < std::pair(own, m_self);
+    const double maxSharers = std::max<double>(m_options.maxSharersAtLowRate, rate);
+    const auto sharers = static_cast<std::size_t>(std::min<double>(static_cast<double>(m_hosts.size()), maxSharers));
+    const std::uint64_t ownWeight = rendezvousWeight(m_self, life);
+    const auto rank = static_cast<std::size_t>(std::ranges::count_if(m_hosts, [&](const std::string &host) {
+        return host != m_self && std::pair(rendezvousWeight(host, life), host) < std::pair(ownWeight, m_self);
     }));
     if (mutated(Mutation::WholeLimitEach)) {
         return rate;
     }
-    return before < sharers ? rate / static_cast<double>(sharers) : 0;
+    return rank < sharers ? rate / static_cast<double>(sharers) : 0;
 }
 
-/** What had passed of the time until the next slot stays passed, so that changes bring no slots of their own. */
+/** Preserves the elapsed part of the wait for the next slot, so that changes of the share create no additional slots. */
 void LimitPacer::setShare(PacedRunner &runner, double share, TimePoint now, Random &random) const
 {
-    const double before = runner.share;
-    if (share == before) {
+    const double oldShare = runner.share;
+    if (share == oldShare) {
         return;
     }
-    const bool fresh = before < kMinShare;
-    const TimePoint next = fresh ? now : usableSlot(runner, now);
+    const bool hadNoShare = oldShare < kMinShare;
+    const TimePoint next = hadNoShare ? now : usableSlot(runner, now);
     runner.share = share;
     if (share < kMinShare) {
         return;
     }
-    const double part = fresh ? std::uniform_real_distribution<double>(0, 1)(random) : std::chrono::duration<double>(next - now).count() * before;
-    runner.next = next <= now && !fresh ? now : now + durationFromSeconds(std::max(0.0, part) / share);
+    const double remainingPart
+        = hadNoShare ? std::uniform_real_distribution<double>(0, 1)(random) : std::chrono::duration<double>(next - now).count() * oldShare;
+    runner.next = next <= now && !hadNoShare ? now : now + durationFromSeconds(std::max(0.0, remainingPart) / share);
 }
 
 void LimitPacer::setHosts(std::vector<std::string> hosts, const std::string &self, TimePoint now, Random &random)
@@ -150,9 +151,9 @@
     if (it == m_runners.end() || it->second.share < kMinShare) {
         return true;
     }
-    const Duration every = interval(it->second);
-    const Duration credit = every <= kShortInterval ? m_options.burst : std::chrono::duration_cast<Duration>(every * kMaxCredit);
-    it->second.next = std::max(usableSlot(it->second, now) + every, now + every - credit);
+    const Duration slotInterval = interval(it->second);
+    const Duration credit = slotInterval <= kShortInterval ? m_options.burst : std::chrono::duration_cast<Duration>(slotInterval * kMaxCredit);
+    it->second.next = std::max(usableSlot(it->second, now) + slotInterval, now + slotInterval - credit);
     return true;
 }
 
--- a/fulmarlink/limitpacer.h
+++ b/fulmarlink/limitpacer.h
@@ -12,57 +12,60 @@
 {
 
 struct LimitPacerOptions {
-    unsigned maxSharersAtLowRate = 5; ///< hosts that share a limit at most, or as many as it has requests a second
-    double minPerSecond = 0.1; ///< of all hosts, where a runner takes less: who never sends never learns that the limit has ended
-    unsigned assumedHosts = 16; ///< assumed while the list of hosts has not been read
-    Duration maxSlotLifetime = std::chrono::seconds(4); ///< a slot that no request has used by then is lost; sooner where the next one begins sooner
-    Duration burst = std::chrono::milliseconds(500); ///< slots of so long may be used at once, where a host has several in it
+    unsigned maxSharersAtLowRate = 5; ///< most hosts that share a limit; if its requests per second are more, that many
+    double minPerSecond = 0.1; ///< floor for all hosts together: without any requests, hosts would not learn that a lower limit has ended
+    unsigned assumedHosts = 16; ///< number of hosts assumed until the list of hosts has been read
+    Duration maxSlotLifetime = std::chrono::seconds(4); ///< an unused slot expires after this time, or after one interval if that is shorter
+    Duration burst = std::chrono::milliseconds(500); ///< a host with several slots within this time may use them at once
 };
 
 /**
- * This host's share of the requests a second that runners take from all hosts together, as
- * slots in time.
+ * Paces this host's requests to runners that limit the request rate of all hosts together.
+ * The host's share of a limit is a sequence of time slots, one request each.
  *
- * Each host computes alone who shares a runner: the first hosts in a rendezvous hash over
- * the live ones and the runner's life, each with the same rate. The others leave the runner
- * out. No host asks another one, so the sum holds with the store away; it can only be wrong
- * while hosts disagree on which of them live.
+ * Each host computes independently which hosts share a runner: the first ones in a rendezvous
+ * hash over the live hosts and the runner's life, each with the same rate. The other hosts
+ * send nothing to the runner. Hosts need not communicate for this, so the total stays within
+ * the limit while the store is unavailable; it can be wrong only while hosts disagree on
+ * which hosts are alive.
  *
- * Bound, for hosts that agree on who lives: L a second over a longer time, and within any
- * 4 s at most 1.5 times that + 5, whatever the hosts' phases are. Slots that pass unused are
- * lost: a host that was idle, frozen or away has one at most, or those of `burst`.
+ * Bound, for hosts that agree on the live hosts and a limit of L requests per second: L in the
+ * long run, and at most 1.5 * 4 * L + 5 requests within any 4 s, whatever the hosts' phases
+ * are. Unused slots expire: a host that was idle, frozen or disconnected can use at most one
+ * of them, or those within `burst`.
  *
- * Contract: pure; not thread-safe; canSend() and tryAcquire() are O(log n) in the runner runners.
+ * Contract: pure; not thread-safe; canSend() and tryAcquire() are O(log n) in the number of
+ * runners with a limit.
  */
 class LimitPacer
 {
 public:
     explicit LimitPacer(LimitPacerOptions options = {});
 
-    /** The hosts that live, with or without @p self; empty: not known. */
+    /** Sets the live hosts, with or without @p self; empty: not known. */
     void setHosts(std::vector<std::string> hosts, const std::string &self, TimePoint now, Random &random);
     void setLimit(const TargetIncarnation &life, double perSecond, TimePoint now, Random &random);
     void removeLimit(const TargetIncarnation &life);
 
-    /** Whether this host may send a request there now; always where no limit is known. */
+    /** Whether this host may send the runner a request now; always true if no limit is known. */
     bool canSend(const TargetIncarnation &life, TimePoint now) const;
-    /** The same, and uses the room up. */
+    /** Like canSend(), and uses up the slot. */
     bool tryAcquire(const TargetIncarnation &life, TimePoint now);
-    /** When this host may send there again: @p now if it may at once; nothing if it leaves the runner out. */
+    /** When this host may next send to the runner: @p now if it may at once; nothing if this host has no share of the limit. */
     std::optional<TimePoint> nextSendTime(const TargetIncarnation &life, TimePoint now) const;
-    /** Of this host, in requests a second; nothing if no limit is known. */
+    /** This host's share of the limit, in requests per second; nothing if no limit is known. */
     std::optional<double> shareOf(const TargetIncarnation &life) const;
-    /** As the runner named it, or the least that it gets; 0 if no limit is known. */
+    /** The runner's limit, in requests per second, but at least LimitPacerOptions::minPerSecond; 0 if no limit is known. */
     double limitOf(const TargetIncarnation &life) const;
     bool hasLimits() const;
-    /** Hosts that live, as far as is known. */
+    /** Number of live hosts, or the assumed number if they are not known. */
     unsigned hostCount() const;
 
 private:
     struct PacedRunner {
-        double perSecond = 0; ///< of all hosts
-        double share = 0; ///< of this host
-        TimePoint next{}; ///< when the next slot begins
+        double perSecond = 0; ///< limit of all hosts together
+        double share = 0; ///< part of it for this host, in requests per second
+        TimePoint next{}; ///< start of the next slot
     };
 
     static Duration interval(const PacedRunner &runner);
@@ -72,7 +75,7 @@
     void setShare(PacedRunner &runner, double share, TimePoint now, Random &random) const;
 
     const LimitPacerOptions m_options;
-    std::vector<std::string> m_hosts; ///< this one included; empty: not known
+    std::vector<std::string> m_hosts; ///< live hosts, including this one; empty: not known
     std::string m_self;
     std::map<TargetIncarnation, PacedRunner> m_runners;
 };
--- a/fulmarlink/limitrecord.h
+++ b/fulmarlink/limitrecord.h
@@ -9,15 +9,15 @@
 {
 
 /**
- * What one host tells the others of the limit that a runner has named. There is one record
- * for each life of a runner; it is written over when the limit changes and removed when it
- * has ended. Whichever host writes last is believed until the runner's next answer.
+ * Record in the shared store by which one host tells the others a runner's limit. There is
+ * one record for each life of a runner; it is overwritten when the limit changes and removed
+ * when the limit ends. The last write counts until the runner's next answer.
  */
 struct LimitRecord {
     TargetIncarnation life;
-    double perSecond = 0; ///< requests that the runner takes from all hosts together
-    std::string host; ///< that wrote it
-    std::chrono::milliseconds writtenAt{0}; ///< Unix time by that host's clock
+    double perSecond = 0; ///< requests that the runner accepts from all hosts together
+    std::string host; ///< the host that wrote the record
+    std::chrono::milliseconds writtenAt{0}; ///< Unix time on that host's clock
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/limitwatch.cpp
+++ b/fulmarlink/limitwatch.cpp
@@ -1,4 +1,4 @@
-// Each co_await stands in a statement of its own, as in gatewayexchange.cpp.
+// Each co_await is a statement of its own; gatewayexchange.cpp gives the reason.
 
 #include "fulmarlink/limitwatch.h"
 
@@ -17,8 +17,8 @@
 namespace
 {
 
-constexpr std::size_t kMaxLoggedMalformed = 1000; ///< lives remembered, so that each is told of once
-constexpr Duration kStoreRetry = std::chrono::milliseconds(250); ///< as for the other calls of the store
+constexpr std::size_t kMaxLoggedMalformed = 1000; ///< lives remembered so that each is logged once
+constexpr Duration kStoreRetry = std::chrono::milliseconds(250); ///< the same as for other store operations
 
 std::chrono::milliseconds unixNow()
 {
@@ -31,7 +31,7 @@
     : m_context(context)
     , m_state(state)
     , m_platform(platform)
-    , m_wake(context, asio::steady_timer::time_point::max())
+    , m_wakeTimer(context, asio::steady_timer::time_point::max())
     , m_limitedRunnerCount(state.counters.registerCounter("fulmarlink_limited_runners"))
     , m_malformedLimitCount(state.counters.registerCounter("fulmarlink_malformed_limits_total"))
     , m_pendingRecordCount(state.counters.registerCounter("fulmarlink_limit_records_waiting"))
@@ -40,7 +40,7 @@
 
 asio::awaitable<void> LimitWatch::sleep(Duration duration)
 {
-    boost::system::error_code ignored; // the timer is not cancelled
+    boost::system::error_code ignored; // this timer is never cancelled
     asio::steady_timer timer(m_context, duration);
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
@@ -49,7 +49,7 @@
 {
     const TargetIncarnation life{target.id, target.born};
     if (!answer.malformedLimit.empty()) {
-        noteMalformed(life, answer.malformedLimit);
+        reportMalformed(life, answer.malformedLimit);
         return;
     }
     const bool authoritative = answer.speaksForTarget && (answer.requestLimit || (answer.sealed && !answer.attemptId.empty()));
@@ -60,7 +60,7 @@
     const RunnerLimit before = current == nullptr ? RunnerLimit{} : *current;
     const LimitObservation observation{answer.requestLimit, sent, m_state.clock.now(), attempt};
     const LimitChange change = m_state.signals.limits.applyAnswer(life, observation);
-    noteChange(life, change, before);
+    applyChange(life, change, before);
     if (change != LimitChange::None) {
         queueRecord(life);
     }
@@ -75,10 +75,10 @@
         const RunnerLimit *current = m_state.signals.limits.find(record.life);
         const bool ownRecord = record.host == m_state.settings.host && current != nullptr;
         if (ownRecord || m_pendingRecords.contains(record.life)) {
-            continue; // this host knows more than the record
+            continue; // this host's own knowledge is newer than the record
         }
         const RunnerLimit before = current == nullptr ? RunnerLimit{} : *current;
-        noteChange(record.life, m_state.signals.limits.applyRecord(record.life, record.perSecond, record.host, m_state.clock.now()), before);
+        applyChange(record.life, m_state.signals.limits.applyRecord(record.life, record.perSecond, record.host, m_state.clock.now()), before);
     }
     for (const TargetIncarnation &life : read.limitsEnded) {
         handleRemovedRecord(life);
@@ -94,7 +94,7 @@
     }
 }
 
-/** Its record is gone from the store. */
+/** Handles the removal of the record of @p life from the store. */
 void LimitWatch::handleRemovedRecord(const TargetIncarnation &life)
 {
     m_storedLimits.erase(life);
@@ -103,7 +103,7 @@
         return;
     }
     const RunnerLimit before = *current;
-    noteChange(life, m_state.signals.limits.remove(life), before);
+    applyChange(life, m_state.signals.limits.remove(life), before);
 }
 
 void LimitWatch::setHosts(const std::vector<std::string> &hosts)
@@ -129,13 +129,13 @@
             continue;
         }
         const RunnerLimit before = *m_state.signals.limits.find(life);
-        noteChange(life, m_state.signals.limits.remove(life), before);
+        applyChange(life, m_state.signals.limits.remove(life), before);
         queueRecord(life);
     }
     m_unlistedLives = std::move(unlisted);
 }
 
-void LimitWatch::noteChange(const TargetIncarnation &life, LimitChange change, const RunnerLimit &before)
+void LimitWatch::applyChange(const TargetIncarnation &life, LimitChange change, const RunnerLimit &before)
 {
     if (change == LimitChange::None) {
         return;
@@ -161,7 +161,7 @@
                {"source", limit.source}});
 }
 
-void LimitWatch::noteMalformed(const TargetIncarnation &life, const std::string &text)
+void LimitWatch::reportMalformed(const TargetIncarnation &life, const std::string &text)
 {
     m_state.counters.add(m_malformedLimitCount);
     if (m_loggedMalformed.size() < kMaxLoggedMalformed && m_loggedMalformed.insert(life).second) {
@@ -172,10 +172,10 @@
 void LimitWatch::queueRecord(const TargetIncarnation &life)
 {
     m_pendingRecords.insert(life);
-    m_wake.cancel();
+    m_wakeTimer.cancel();
 }
 
-/** Brings the record of @p life to what this host knows. */
+/** Writes or removes the record of @p life in the store so that it matches what this host knows. */
 asio::awaitable<std::error_code> LimitWatch::synchronizeRecord(TargetIncarnation life)
 {
     const auto stored = m_storedLimits.find(life);
@@ -202,13 +202,13 @@
 
 asio::awaitable<void> LimitWatch::publish()
 {
-    boost::system::error_code ignored; // cancelled when there is something to write
-    TargetIncarnation last; // tried, so that one that can't be written holds up no other
+    boost::system::error_code ignored; // the timer is cancelled when a record is queued
+    TargetIncarnation last; // last one tried; the next is taken after it, so that a record that can't be written doesn't block the others
     for (;;) {
         m_state.counters.set(m_pendingRecordCount, m_pendingRecords.size());
         if (m_pendingRecords.empty()) {
-            m_wake.expires_at(asio::steady_timer::time_point::max());
-            co_await m_wake.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+            m_wakeTimer.expires_at(asio::steady_timer::time_point::max());
+            co_await m_wakeTimer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
             continue;
         }
         const auto next = m_pendingRecords.upper_bound(last);
--- a/fulmarlink/limitwatch.h
+++ b/fulmarlink/limitwatch.h
@@ -21,35 +21,36 @@
 struct SharedRecordsRead;
 
 /**
- * Takes in what runners' answers and other hosts' records say of the requests a second that
- * a runner takes from all hosts together, paces this host's requests there by it, and tells
- * the other hosts of what its own answers changed.
+ * Tracks the limits on the request rate of all hosts together that runners state in their
+ * answers and that other hosts have recorded, paces this host's requests accordingly, and
+ * records for the other hosts the changes that it learns from answers.
  *
- * The store is written to only when a limit begins, changes or ends. What can't be written
- * waits; it holds here all the same.
+ * The store is written only when a limit begins, changes or ends. A record that can't be
+ * written is retried; its limit applies on this host meanwhile.
  *
- * How to use: publish() once, as a coroutine of the process's thread; the records come from
- * whoever reads those of crashes.
+ * Usage: run publish() once, as a coroutine on the process's thread. The reader of the crash
+ * records passes in the limit records too.
  */
 class LimitWatch
 {
 public:
     LimitWatch(boost::asio::io_context &context, GatewayState &state, Platform &platform);
 
+    /** Writes changed limits to the store; never returns. */
     boost::asio::awaitable<void> publish();
 
-    /** An answer of @p target to @p attempt, whose request was sent at @p sent. */
+    /** Handles an answer of @p target to @p attempt, whose request was sent at @p sent. */
     void handleAnswer(const TargetInfo &target, const RunnerAnswer &answer, TimePoint sent, const std::string &attempt);
-    /** Records of all hosts. */
+    /** Applies the records of all hosts. */
     void applyRecords(const SharedRecordsRead &read);
-    /** The entry hosts that live. */
+    /** Sets the live entry hosts. */
     void setHosts(const std::vector<std::string> &hosts);
-    /** Called now and then: what runners named that are gone is forgotten, here and in the store. */
+    /** Removes the limits of runners that are gone, here and in the store; to be called periodically. */
     void removeUnlistedRunners();
 
 private:
-    void noteChange(const TargetIncarnation &life, LimitChange change, const RunnerLimit &before);
-    void noteMalformed(const TargetIncarnation &life, const std::string &text);
+    void applyChange(const TargetIncarnation &life, LimitChange change, const RunnerLimit &before);
+    void reportMalformed(const TargetIncarnation &life, const std::string &text);
     void handleRemovedRecord(const TargetIncarnation &life);
     void queueRecord(const TargetIncarnation &life);
     boost::asio::awaitable<std::error_code> synchronizeRecord(TargetIncarnation life);
@@ -58,12 +59,12 @@
     boost::asio::io_context &m_context;
     GatewayState &m_state;
     Platform &m_platform;
-    boost::asio::steady_timer m_wake; ///< of publish()
-    std::set<TargetIncarnation> m_pendingRecords; ///< whose record differs from what this host has seen
-    std::map<TargetIncarnation, double> m_storedLimits; ///< limits in the store, as last heard
-    std::set<TargetIncarnation> m_unlistedLives; ///< lives that the list of runners did not have when removeUnlistedRunners() last looked
-    std::set<TargetIncarnation> m_loggedMalformed; ///< lives that a line has told of
-    bool m_lastWriteSucceeded = true; ///< the last writing of a record succeeded
+    boost::asio::steady_timer m_wakeTimer; ///< publish() waits on it while no record is pending
+    std::set<TargetIncarnation> m_pendingRecords; ///< lives whose record in the store may differ from what this host knows
+    std::map<TargetIncarnation, double> m_storedLimits; ///< limits in the store, as last read or written
+    std::set<TargetIncarnation> m_unlistedLives; ///< lives missing from the list of runners at the last removeUnlistedRunners()
+    std::set<TargetIncarnation> m_loggedMalformed; ///< lives whose malformed limit has been logged
+    bool m_lastWriteSucceeded = true; ///< so that only changes are logged
     Counters::Id m_limitedRunnerCount;
     Counters::Id m_malformedLimitCount;
     Counters::Id m_pendingRecordCount;
--- a/fulmarlink/runnerlimits.cpp
+++ b/fulmarlink/runnerlimits.cpp
@@ -28,24 +28,24 @@
     if (it == m_limits.end()) {
         return observation.perSecond ? applyRecord(life, *observation.perSecond, observation.attempt, observation.now) : LimitChange::None;
     }
-    const bool later = observation.sent > it->second.confirmedAt || mutated(Mutation::EndLimitByOldAnswer);
+    const bool sentAfterConfirmation = observation.sent > it->second.confirmedAt || mutated(Mutation::EndLimitByOldAnswer);
     if (!observation.perSecond) {
-        return later ? remove(life) : LimitChange::None;
+        return sentAfterConfirmation ? remove(life) : LimitChange::None;
     }
-    if (*observation.perSecond > it->second.perSecond && !later) {
+    if (*observation.perSecond > it->second.perSecond && !sentAfterConfirmation) {
         return LimitChange::None;
     }
     return applyRecord(life, *observation.perSecond, observation.attempt, observation.now);
 }
 
-LimitChange RunnerLimits::applyRecord(const TargetIncarnation &life, double perSecond, const std::string &host, TimePoint now)
+LimitChange RunnerLimits::applyRecord(const TargetIncarnation &life, double perSecond, const std::string &source, TimePoint now)
 {
     const auto it = m_limits.find(life);
     if (it == m_limits.end()) {
         if (m_limits.size() >= kMaxLimits) {
             return LimitChange::None;
         }
-        m_limits.emplace(life, RunnerLimit{perSecond, now, now, host});
+        m_limits.emplace(life, RunnerLimit{perSecond, now, now, source});
         return LimitChange::Named;
     }
     RunnerLimit &limit = it->second;
@@ -54,7 +54,7 @@
         return LimitChange::None;
     }
     limit.perSecond = perSecond;
-    limit.source = host;
+    limit.source = source;
     return LimitChange::Changed;
 }
 
--- a/fulmarlink/runnerlimits.h
+++ b/fulmarlink/runnerlimits.h
@@ -12,52 +12,53 @@
 namespace fulmarlink
 {
 
-/** What this host knows of the requests that a runner takes from all hosts together. */
+/** Limit on the rate of requests that a runner accepts from all hosts together, as known to this host. */
 struct RunnerLimit {
-    double perSecond = 0;
-    TimePoint since{}; ///< this host has known of a limit of the runner
-    TimePoint confirmedAt{}; ///< it was last named, to this host or in another one's record
-    std::string source; ///< the attempt whose answer named it, or the host that told of it
+    double perSecond = 0; ///< requests per second
+    TimePoint since{}; ///< when this host first learned that the runner has a limit
+    TimePoint confirmedAt{}; ///< when a runner's answer or another host's record last stated the limit
+    std::string source; ///< the attempt whose answer set the current value, or the host whose record did
 };
 
 enum class LimitChange : std::uint8_t {
     None,
-    Named, ///< the first that is known of a limit of this life of the runner
+    Named, ///< the first known limit of this life of the runner
     Changed,
     Ended,
 };
 
 std::string_view limitChangeName(LimitChange change);
 
-/** One answer of a runner, as far as it tells of a limit. */
+/** What one answer of a runner says about the runner's limit. */
 struct LimitObservation {
-    std::optional<double> perSecond; ///< as it names it; absent: it names none
-    TimePoint sent{}; ///< when the request was sent that it answers
+    std::optional<double> perSecond; ///< absent: the answer states no limit
+    TimePoint sent{}; ///< when the answered request was sent
     TimePoint now{};
-    std::string attempt;
+    std::string attempt; ///< identifier of the attempt
 };
 
 /**
- * The limits that runners have named, as far as this host knows.
+ * The limits that runners have announced, as known to this host. A limit belongs to one life
+ * of a runner.
  *
- * Answers overtake each other, so one that bears no limit ends one only if its request was
- * sent after the limit had last been named; so does one that raises it. A lower limit holds
- * at once, whichever answer bears it. A limit belongs to one life of a runner.
+ * Answers can arrive out of order. An answer therefore removes or raises a limit only if its
+ * request was sent after the limit was last confirmed. A lower limit takes effect at once,
+ * whichever answer carries it.
  *
  * Contract: pure; not thread-safe; O(log n).
  */
 class RunnerLimits
 {
 public:
-    static constexpr std::size_t kMaxLimits = 4096; ///< lives; a fleet has some hundred runners
+    static constexpr std::size_t kMaxLimits = 4096; ///< lives of runners; a fleet has a few hundred runners
 
     LimitChange applyAnswer(const TargetIncarnation &life, const LimitObservation &observation);
-    /** Another host's record. */
-    LimitChange applyRecord(const TargetIncarnation &life, double perSecond, const std::string &host, TimePoint now);
-    /** Another host has seen that the runner names none any more, or the runner is gone. */
+    /** Applies a limit that @p source, another host's record or an attempt's answer, states. */
+    LimitChange applyRecord(const TargetIncarnation &life, double perSecond, const std::string &source, TimePoint now);
+    /** For when another host found that the runner no longer has a limit, or when the runner is gone. */
     LimitChange remove(const TargetIncarnation &life);
 
-    /** Null if none is known. */
+    /** Null if no limit is known. */
     const RunnerLimit *find(const TargetIncarnation &life) const;
     std::vector<TargetIncarnation> lives() const;
     std::size_t size() const;
