--- a/testing/harness/customerlimitersimulation.h
+++ b/testing/harness/customerlimitersimulation.h
@@ -10,25 +10,25 @@
 namespace fulmarlink::testing
 {
 
-/** Entries with real limiters on a virtual clock, and messages that take a millisecond. */
+/** Entry nodes with real customer limiters on a virtual clock, which exchange messages with a latency of 1 ms. */
 class CustomerLimiterSimulation
 {
 public:
     CustomerLimiterSimulation(unsigned entries, std::uint64_t seed);
 
-    /** A request of @p tokens at an entry. */
+    /** Submits a request for @p tokens at @p entry; does nothing if the entry is down. */
     void request(unsigned entry, std::uint64_t customer, std::uint32_t tokens, const TokenLimit &limit);
-    /** Dies at once; the others' list drops it after @p lag. */
+    /** Stops @p entry at once; the others' list of entries drops it after @p lag. */
     void kill(unsigned entry, Duration lag);
-    /** Starts anew; the others' list has it after @p lag. */
+    /** Starts @p entry without state; the others' list of entries has it after @p lag. */
     void join(unsigned entry, Duration lag);
-    /** Nothing passes between entries. */
+    /** While @p partitioned, all messages between different entries are lost. */
     void setPartitioned(bool partitioned);
     void run(Duration time);
 
     TimePoint now() const;
     bool up(unsigned entry) const;
-    double granted(std::uint64_t customer) const; ///< tokens
+    double granted(std::uint64_t customer) const; ///< in tokens
     unsigned refused() const;
     std::uint64_t messages() const;
 
--- a/testing/limitedrunner_test.cpp
+++ b/testing/limitedrunner_test.cpp
@@ -1,14 +1,14 @@
-// Runners that name in their answers how many requests a second they take from all hosts
+// Runners that state in their answers how many requests per second they accept from all hosts
 // together.
 //
-// Seen: a runner that had named 1 request a second got 13 in 4 s; another one, at 1.2 a second,
-// as many. How it came about: five hosts sent to it as before, each of them no more than the
-// limit allows one host alone. Cause: no host read the limit; and had each one held to it by
-// itself, the sum would have been the same, since nothing divides among hosts what a receiver
-// bounds for all of them. Proved by these tests: before the repair one host alone went beyond
-// the limit, and hosts that each take the whole of it still do (WholeLimitEach below). What
-// counts is what the runners got, from all hosts, in every span of 4 s, and what they could have
-// taken while callers were refused.
+// Guards against this failure: runners with limits of 1 and 1.2 requests per second received 13
+// requests in 4 s each, from five hosts that each sent no more than the limit allows a single
+// host. The hosts ignored the limit; had each one kept to it on its own, the total would have
+// been the same, because nothing divided the limit among them. One host that ignores the limit
+// exceeds it too, and so do hosts that each use the whole of it (Mutation::WholeLimitEach).
+//
+// The tests check the requests that a runner receives from all hosts within any 4 s, and that
+// runners are not left idle while callers are refused.
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -26,10 +26,10 @@
 using namespace std::chrono_literals;
 using Time = GatewayFleet::Time;
 
-constexpr auto kSpan = 4000ms; ///< in which the platform counts
-constexpr auto kSettle = 1000ms; ///< from the first answer that names a limit; a third of the time in which the platform wants it known
+constexpr auto kSpan = 4000ms; ///< window over which the platform checks the limit
+constexpr auto kSettle = 1000ms; ///< after the first answer that states a limit; a third of the time that the platform allows for hosts to learn it
 constexpr auto kMeasured = 9000ms;
-constexpr double kSpanFactor = 1.5; ///< of what the limit allows in a span, beside kSpanSlack
+constexpr double kSpanFactor = 1.5; ///< tolerance over what the limit allows in a span; kSpanSlack is added
 constexpr double kSpanSlack = 5;
 
 double seconds(std::chrono::milliseconds time)
@@ -37,24 +37,24 @@
     return std::chrono::duration<double>(time).count();
 }
 
-/** What a runner with a limit may get in any span. */
-double mostInSpan(double perSecond)
+/** The most requests that a runner with a limit may receive in any span. */
+double maxInSpan(double perSecond)
 {
     return perSecond * seconds(kSpan) * kSpanFactor + kSpanSlack;
 }
 
-/** The most that came within any span of kSpan that begins at @p from or later. */
-std::size_t mostArrivals(const std::vector<Time> &arrivals, Time from)
+/** The most arrivals within any span of kSpan that begins at @p from or later. */
+std::size_t maxArrivalsInSpan(const std::vector<Time> &arrivals, Time from)
 {
-    std::size_t most = 0;
+    std::size_t highest = 0;
     auto first = std::ranges::lower_bound(arrivals, from);
     for (auto last = first; last != arrivals.end(); ++last) {
         while (*last - *first >= kSpan) {
             ++first;
         }
-        most = std::max(most, static_cast<std::size_t>(last - first) + 1);
+        highest = std::max(highest, static_cast<std::size_t>(last - first) + 1);
     }
-    return most;
+    return highest;
 }
 
 std::size_t arrivalsSince(const std::vector<Time> &arrivals, Time from)
@@ -65,9 +65,9 @@
 struct Case {
     const char *name;
     unsigned gateways;
-    const char *limit; ///< as the runner names it
-    double perSecond; ///< the same
-    double demand; ///< requests a second, for all runners
+    const char *limit; ///< the limit as the runner sends it
+    double perSecond; ///< the same limit as a number
+    double demand; ///< requests per second, for all runners together
     const char *path;
     bool group;
 };
@@ -97,7 +97,7 @@
 
 } // namespace
 
-TEST_P(LimitedRunner, GetsNoMoreThanItNamesFromAllHostsTogether)
+TEST_P(LimitedRunner, TotalFromAllHostsStaysWithinLimit)
 {
     constexpr unsigned kRunners = 3;
     GatewayFleet fleet(options(kRunners));
@@ -110,10 +110,10 @@
     load.run(kMeasured, GetParam().path);
     const auto &arrivals = fleet.arrivalsAt(0);
     const double allowed = GetParam().perSecond * seconds(kMeasured);
-    EXPECT_LE(mostArrivals(arrivals, from), mostInSpan(GetParam().perSecond));
+    EXPECT_LE(maxArrivalsInSpan(arrivals, from), maxInSpan(GetParam().perSecond));
     EXPECT_LE(arrivalsSince(arrivals, from), allowed * 1.1 + kSpanSlack);
-    EXPECT_GE(arrivalsSince(arrivals, from), allowed * 0.6 - 2) << "it could have taken more";
-    EXPECT_EQ(load.answered(503) + load.answered(429), 0U) << "the other runners had room";
+    EXPECT_GE(arrivalsSince(arrivals, from), allowed * 0.6 - 2) << "the runner could have served more";
+    EXPECT_EQ(load.answered(503) + load.answered(429), 0U) << "the other runners had capacity";
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleet,
@@ -128,7 +128,7 @@
                                            Case{"SixteenHostsTwentyASecond", 16, "20", 20, 120, "/again/x", false}),
                          caseName);
 
-TEST(LimitedRunners, TakeWhatTheyNameWhileMoreCallersComeThanThatAndTheOthersAreRefusedAtOnce)
+TEST(LimitedRunners, ReceiveTheirWholeLimitUnderOverloadAndExcessIsRefused)
 {
     constexpr unsigned kRunners = 4;
     constexpr unsigned kGateways = 5;
@@ -143,12 +143,12 @@
     const Time from = std::chrono::steady_clock::now();
     load.run(kMeasured, "/once/x");
     fleet.run(300ms);
-    double got = 0;
+    double received = 0;
     for (unsigned i = 0; i < kRunners; ++i) {
-        EXPECT_LE(mostArrivals(fleet.arrivalsAt(i), from), mostInSpan(kPerSecond));
-        got += static_cast<double>(arrivalsSince(fleet.arrivalsAt(i), from));
+        EXPECT_LE(maxArrivalsInSpan(fleet.arrivalsAt(i), from), maxInSpan(kPerSecond));
+        received += static_cast<double>(arrivalsSince(fleet.arrivalsAt(i), from));
     }
-    EXPECT_GE(got, 0.85 * kRunners * kPerSecond * seconds(kMeasured)) << "they could have taken more";
+    EXPECT_GE(received, 0.85 * kRunners * kPerSecond * seconds(kMeasured)) << "the runners could have served more";
     for (std::size_t i = 0; i < load.answers().size(); ++i) {
         const Answer &answer = *load.answers()[i];
         ASSERT_TRUE(answer.status == 200 || answer.status == 503) << answer.status;
@@ -163,25 +163,25 @@
 constexpr unsigned kHosts = 5;
 constexpr const char *kLimited = "fulmarlink_limited_runners";
 
-/** Five hosts before three runners, of which the first one names a limit that one host has learnt. */
+/** Five hosts and three runners; the first runner has a limit of 1 request per second, which one host has learned. */
 class LimitAtOneHost : public ::testing::Test
 {
 public:
     void SetUp() override
     {
         ASSERT_TRUE(fleet.start());
-        name("1");
+        setLimit("1");
         ASSERT_TRUE(askUntil(0, [this] {
             return fleet.count(kLimited) > 0;
         }));
     }
 
-    void name(const std::string &limit)
+    void setLimit(const std::string &limit)
     {
         fleet.runner(0).limit = limit;
     }
 
-    /** Asks one host again and again until @p condition holds. */
+    /** Sends requests to one host until @p condition holds or @p limit has passed. */
     template<typename Condition>
     bool askUntil(unsigned gateway, Condition condition, std::chrono::milliseconds limit = 8s)
     {
@@ -207,12 +207,12 @@
 
 } // namespace
 
-TEST_F(LimitAtOneHost, IsKnownToAllBeforeTheySendThere)
+TEST_F(LimitAtOneHost, ReachesAllHosts)
 {
     EXPECT_TRUE(knownBy(kHosts));
 }
 
-TEST_F(LimitAtOneHost, IsKnownToAHostThatStartsBeforeItsFirstRequest)
+TEST_F(LimitAtOneHost, IsLoadedByRestartedHostBeforeItsFirstRequest)
 {
     ASSERT_TRUE(knownBy(kHosts));
     fleet.killGateway(1);
@@ -225,10 +225,10 @@
     EXPECT_EQ(fleet.count(kLimited), kHosts);
 }
 
-TEST_F(LimitAtOneHost, EndsForAllWhenOneAnswerBearsNoneAnyMore)
+TEST_F(LimitAtOneHost, EndsOnAllHostsAfterOneAnswerWithoutLimit)
 {
     ASSERT_TRUE(knownBy(kHosts));
-    name("");
+    setLimit("");
     ASSERT_TRUE(askUntil(
         0,
         [this] {
@@ -241,21 +241,21 @@
     EXPECT_GE(arrivalsSince(fleet.arrivalsAt(0), from), 15U) << "a third of the load";
 }
 
-TEST_F(LimitAtOneHost, RisesForAllHosts)
+TEST_F(LimitAtOneHost, IncreaseReachesAllHosts)
 {
     ASSERT_TRUE(knownBy(kHosts));
-    name("8");
+    setLimit("8");
     load.run(6000ms, "/again/x");
     const Time from = std::chrono::steady_clock::now();
     load.run(4000ms, "/again/x");
     EXPECT_GE(arrivalsSince(fleet.arrivalsAt(0), from), 20U);
-    EXPECT_LE(arrivalsSince(fleet.arrivalsAt(0), from), mostInSpan(8));
+    EXPECT_LE(arrivalsSince(fleet.arrivalsAt(0), from), maxInSpan(8));
 }
 
-TEST_F(LimitAtOneHost, HoldsForOneLifeOfTheRunner)
+TEST_F(LimitAtOneHost, AppliesToOneLifeOfTheRunner)
 {
     ASSERT_TRUE(knownBy(kHosts));
-    name("");
+    setLimit("");
     fleet.crashRunner(0);
     ASSERT_TRUE(fleet.runUntilUp(3));
     fleet.run(1000ms);
@@ -264,23 +264,23 @@
     EXPECT_GE(arrivalsSince(fleet.arrivalsAt(0), from), 15U);
 }
 
-TEST_F(LimitAtOneHost, IsNotTouchedByWhatIsNoNumber)
+TEST_F(LimitAtOneHost, IgnoresMalformedValues)
 {
     ASSERT_TRUE(knownBy(kHosts));
     for (const std::string bad : {"many", "-3", "nan"}) {
-        name(bad);
+        setLimit(bad);
         const Time from = std::chrono::steady_clock::now();
         load.run(2000ms, "/again/x");
-        EXPECT_LE(arrivalsSince(fleet.arrivalsAt(0), from), mostInSpan(1)) << bad;
+        EXPECT_LE(arrivalsSince(fleet.arrivalsAt(0), from), maxInSpan(1)) << bad;
         EXPECT_EQ(fleet.count(kLimited), kHosts) << bad;
     }
     EXPECT_GE(fleet.count("fulmarlink_malformed_limits_total"), 1U);
 }
 
-TEST_F(LimitAtOneHost, HoldsWhileTheStoreIsAwayAlsoForOneThatIsNamedThen)
+TEST_F(LimitAtOneHost, HoldsDuringStoreOutageAsDoesANewLimit)
 {
     ASSERT_TRUE(knownBy(kHosts));
-    load.run(2000ms, "/again/x"); // until the hosts know of each other
+    load.run(2000ms, "/again/x"); // lets the hosts learn of each other
     for (const auto &proxy : fleet.storeProxies) {
         proxy->setMode(ProxyMode::Refuse);
     }
@@ -288,11 +288,11 @@
     load.run(kSettle, "/again/x");
     const Time from = std::chrono::steady_clock::now();
     load.run(3000ms, "/again/x");
-    EXPECT_LE(arrivalsSince(fleet.arrivalsAt(0), from), mostInSpan(1));
-    EXPECT_LE(arrivalsSince(fleet.arrivalsAt(1), from), mostInSpan(1));
+    EXPECT_LE(arrivalsSince(fleet.arrivalsAt(0), from), maxInSpan(1));
+    EXPECT_LE(arrivalsSince(fleet.arrivalsAt(1), from), maxInSpan(1));
 }
 
-TEST(LimitedRunners, GetSecondTriesAndResumedStreamsWithinTheirLimits)
+TEST(LimitedRunners, RetriesAndResumedStreamsStayWithinLimits)
 {
     constexpr unsigned kRunners = 4;
     constexpr double kPerSecond = 3;
@@ -307,33 +307,33 @@
     load.run(4000ms, "/stream/cut");
     load.run(4000ms, "/again/reset");
     for (unsigned i = 0; i < kRunners; ++i) {
-        EXPECT_LE(mostArrivals(fleet.arrivalsAt(i), from), mostInSpan(kPerSecond));
+        EXPECT_LE(maxArrivalsInSpan(fleet.arrivalsAt(i), from), maxInSpan(kPerSecond));
     }
     EXPECT_GE(fleet.count("fulmarlink_results_total{code=\"136\",name=\"runners-limited\"}"), 1U);
 }
 
-TEST(LimitedRunners, SendCallersAwayAtOnceAndOneAfterTheOther)
+TEST(LimitedRunners, RefuseCallersAtOnceWithIncreasingRetryAfter)
 {
     GatewayFleet fleet({.gateways = 1, .runners = 2});
     ASSERT_TRUE(fleet.start());
     fleet.runner(0).limit = "1";
     fleet.runner(1).limit = "1";
-    fleet.run(2000ms); // until the host knows that it is alone
-    std::vector<double> returns;
+    fleet.run(2000ms); // lets the host learn that it is the only one
+    std::vector<double> retryAfter;
     for (unsigned i = 0; i < 14; ++i) {
-        const Time asked = std::chrono::steady_clock::now();
+        const Time sent = std::chrono::steady_clock::now();
         const Answer answer = fleet.ask(0, fleet.request("/once/x"));
         if (answer.status == 503) {
-            EXPECT_LT(std::chrono::steady_clock::now() - asked, 200ms);
+            EXPECT_LT(std::chrono::steady_clock::now() - sent, 200ms);
             EXPECT_EQ(answer["Fulmarlink-Result"], "136 runners-limited");
-            returns.push_back(std::stod(answer["Retry-After"]));
+            retryAfter.push_back(std::stod(answer["Retry-After"]));
         }
     }
-    ASSERT_GE(returns.size(), 8U);
-    EXPECT_GT(returns.back() - returns.front(), 2) << "two find room in each second";
+    ASSERT_GE(retryAfter.size(), 8U);
+    EXPECT_GT(retryAfter.back() - retryAfter.front(), 2) << "two requests can run in each second";
 }
 
-TEST(LimitedRunnerMutation, HostsThatIgnoreLimitsOrTakeThemWholeAreCaught)
+TEST(LimitedRunnerMutation, DetectsHostsThatIgnoreLimitsOrEachUseTheWholeLimit)
 {
     for (const Mutation mutation : {Mutation::IgnoreLimits, Mutation::WholeLimitEach}) {
         const ScopedMutation scoped(mutation);
@@ -344,7 +344,7 @@
         load.run(kSettle, "/once/x");
         const Time from = std::chrono::steady_clock::now();
         load.run(4500ms, "/once/x");
-        EXPECT_GT(mostArrivals(fleet.arrivalsAt(0), from), mostInSpan(2));
+        EXPECT_GT(maxArrivalsInSpan(fleet.arrivalsAt(0), from), maxInSpan(2));
     }
 }
 
--- a/testing/runnerlimits_test.cpp
+++ b/testing/runnerlimits_test.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-TEST(RunnerLimits, AnAnswerNamesChangesAndEndsALimit)
+TEST(RunnerLimits, AnswersAddChangeAndRemoveLimit)
 {
     RunnerLimits limits;
     EXPECT_EQ(limits.applyAnswer(kRunner, observation({}, 0s, 1s)), LimitChange::None);
@@ -35,18 +35,18 @@
     EXPECT_EQ(limits.find(kRunner), nullptr);
 }
 
-TEST(RunnerLimits, AnAnswerThatWasOvertakenNeitherEndsNorRaisesALimit)
+TEST(RunnerLimits, OutOfOrderAnswerNeitherRemovesNorRaisesLimit)
 {
     RunnerLimits limits;
     limits.applyAnswer(kRunner, observation(2, 1s, 5s));
     EXPECT_EQ(limits.applyAnswer(kRunner, observation({}, 4s, 6s)), LimitChange::None);
     EXPECT_EQ(limits.applyAnswer(kRunner, observation(9, 4s, 6s)), LimitChange::None);
     EXPECT_EQ(limits.find(kRunner)->perSecond, 2);
-    EXPECT_EQ(limits.applyAnswer(kRunner, observation(1, 4s, 6s)), LimitChange::Changed) << "a lower one holds at once";
+    EXPECT_EQ(limits.applyAnswer(kRunner, observation(1, 4s, 6s)), LimitChange::Changed) << "a lower limit takes effect at once";
     EXPECT_EQ(limits.find(kRunner)->perSecond, 1);
 }
 
-TEST(RunnerLimitsMutation, ALimitThatAnOldAnswerEndsIsCaught)
+TEST(RunnerLimitsMutation, DetectsOldAnswerThatRemovesLimit)
 {
     const ScopedMutation mutation(Mutation::EndLimitByOldAnswer);
     RunnerLimits limits;
@@ -54,7 +54,7 @@
     EXPECT_EQ(limits.applyAnswer(kRunner, observation({}, 4s, 6s)), LimitChange::Ended);
 }
 
-TEST(RunnerLimits, AnotherLifeOfTheRunnerHasNoLimit)
+TEST(RunnerLimits, LimitDoesNotApplyToAnotherLifeOfRunner)
 {
     RunnerLimits limits;
     limits.applyAnswer(kRunner, observation(2, 1s, 2s));
@@ -63,17 +63,17 @@
     EXPECT_NE(limits.find(kRunner), nullptr);
 }
 
-TEST(RunnerLimits, WhatAnotherHostTellsHoldsLikeAnAnswerOfNow)
+TEST(RunnerLimits, RecordOfAnotherHostCountsAsConfirmationNow)
 {
     RunnerLimits limits;
     EXPECT_EQ(limits.applyRecord(kRunner, 3, "entry-1", kStart + 10s), LimitChange::Named);
     EXPECT_EQ(limits.find(kRunner)->source, "entry-1");
-    EXPECT_EQ(limits.applyAnswer(kRunner, observation({}, 9s, 11s)), LimitChange::None) << "its request was sent before this host was told";
+    EXPECT_EQ(limits.applyAnswer(kRunner, observation({}, 9s, 11s)), LimitChange::None) << "its request was sent before the record was applied";
     EXPECT_EQ(limits.remove(kRunner), LimitChange::Ended);
     EXPECT_EQ(limits.remove(kRunner), LimitChange::None);
 }
 
-TEST(RunnerLimits, MoreLivesThanThereIsRoomForAreLeftOut)
+TEST(RunnerLimits, IgnoresLimitsBeyondCapacity)
 {
     RunnerLimits limits;
     for (std::uint64_t born = 1; born <= RunnerLimits::kMaxLimits + 5; ++born) {
