--- a/app/limited.cpp
+++ b/app/limited.cpp
@@ -23,8 +23,8 @@
 {
     std::cout << "runner  born           a_second  told_by  written_ms\n";
     for (const LimitRecord &limit : limits) {
-        std::cout << limit.life.id << "  " << limit.life.born << "  " << twoDecimals(limit.perSecond) << "  " << limit.host << "  " << limit.writtenAt.count()
-                  << '\n';
+        std::cout << limit.incarnation.id << "  " << limit.incarnation.born << "  " << twoDecimals(limit.perSecond) << "  " << limit.host << "  "
+                  << limit.writtenAt.count() << '\n';
     }
 }
 
@@ -32,8 +32,8 @@
 {
     json::array rows;
     for (const LimitRecord &limit : limits) {
-        rows.push_back(json::object{{"runner", limit.life.id},
-                                    {"born", limit.life.born},
+        rows.push_back(json::object{{"runner", limit.incarnation.id},
+                                    {"born", limit.incarnation.born},
                                     {"per_second", limit.perSecond},
                                     {"told_by", limit.host},
                                     {"written_ms", limit.writtenAt.count()}});
--- a/fulmarlink/limitpacer.cpp
+++ b/fulmarlink/limitpacer.cpp
@@ -31,9 +31,9 @@
 }
 
 /** Hosts share a runner's limit in the order of this hash, lowest first; it is the same on all hosts. */
-std::uint64_t rendezvousWeight(const std::string &host, const TargetIncarnation &life)
+std::uint64_t rendezvousWeight(const std::string &host, const TargetIncarnation &incarnation)
 {
-    const std::string key = host + '\n' + life.id + '\n' + std::to_string(life.born);
+    const std::string key = host + '\n' + incarnation.id + '\n' + std::to_string(incarnation.born);
     return XXH3_64bits(key.data(), key.size());
 }
 
@@ -64,7 +64,7 @@
     return runner.next + interval(runner) * (overdue / interval(runner) + 1);
 }
 
-double LimitPacer::computeShare(const TargetIncarnation &life, double perSecond) const
+double LimitPacer::computeShare(const TargetIncarnation &incarnation, double perSecond) const
 {
     const double rate = std::clamp(perSecond, m_options.minPerSecond, kMaxPerSecond);
     if (m_hosts.empty()) {
@@ -72,9 +72,9 @@
     }
     const double maxSharers = std::max<double>(m_options.maxSharersAtLowRate, rate);
     const auto sharers = static_cast<std::size_t>(std::min<double>(static_cast<double>(m_hosts.size()), maxSharers));
-    const std::uint64_t ownWeight = rendezvousWeight(m_self, life);
+    const std::uint64_t ownWeight = rendezvousWeight(m_self, incarnation);
     const auto rank = static_cast<std::size_t>(std::ranges::count_if(m_hosts, [&](const std::string &host) {
-        return host != m_self && std::pair(rendezvousWeight(host, life), host) < std::pair(ownWeight, m_self);
+        return host != m_self && std::pair(rendezvousWeight(host, incarnation), host) < std::pair(ownWeight, m_self);
     }));
     if (mutated(Mutation::WholeLimitEach)) {
         return rate;
@@ -107,32 +107,32 @@
         hosts.push_back(self);
     }
     m_hosts = std::move(hosts);
-    for (auto &[life, runner] : m_runners) {
-        setShare(runner, computeShare(life, runner.perSecond), now, random);
+    for (auto &[incarnation, runner] : m_runners) {
+        setShare(runner, computeShare(incarnation, runner.perSecond), now, random);
     }
 }
 
-void LimitPacer::setLimit(const TargetIncarnation &life, double perSecond, TimePoint now, Random &random)
+void LimitPacer::setLimit(const TargetIncarnation &incarnation, double perSecond, TimePoint now, Random &random)
 {
-    PacedRunner &runner = m_runners[life];
+    PacedRunner &runner = m_runners[incarnation];
     runner.perSecond = perSecond;
-    setShare(runner, computeShare(life, perSecond), now, random);
+    setShare(runner, computeShare(incarnation, perSecond), now, random);
 }
 
-void LimitPacer::removeLimit(const TargetIncarnation &life)
+void LimitPacer::removeLimit(const TargetIncarnation &incarnation)
 {
-    m_runners.erase(life);
+    m_runners.erase(incarnation);
 }
 
-bool LimitPacer::canSend(const TargetIncarnation &life, TimePoint now) const
+bool LimitPacer::canSend(const TargetIncarnation &incarnation, TimePoint now) const
 {
-    const auto next = nextSendTime(life, now);
+    const auto next = nextSendTime(incarnation, now);
     return next && *next <= now;
 }
 
-std::optional<TimePoint> LimitPacer::nextSendTime(const TargetIncarnation &life, TimePoint now) const
+std::optional<TimePoint> LimitPacer::nextSendTime(const TargetIncarnation &incarnation, TimePoint now) const
 {
-    const auto it = m_runners.find(life);
+    const auto it = m_runners.find(incarnation);
     if (it == m_runners.end() || mutated(Mutation::IgnoreLimits)) {
         return now;
     }
@@ -142,12 +142,12 @@
     return std::max(now, usableSlot(it->second, now));
 }
 
-bool LimitPacer::tryAcquire(const TargetIncarnation &life, TimePoint now)
+bool LimitPacer::tryAcquire(const TargetIncarnation &incarnation, TimePoint now)
 {
-    if (!canSend(life, now)) {
+    if (!canSend(incarnation, now)) {
         return false;
     }
-    const auto it = m_runners.find(life);
+    const auto it = m_runners.find(incarnation);
     if (it == m_runners.end() || it->second.share < kMinShare) {
         return true;
     }
@@ -157,15 +157,15 @@
     return true;
 }
 
-std::optional<double> LimitPacer::shareOf(const TargetIncarnation &life) const
+std::optional<double> LimitPacer::shareOf(const TargetIncarnation &incarnation) const
 {
-    const auto it = m_runners.find(life);
+    const auto it = m_runners.find(incarnation);
     return it == m_runners.end() ? std::nullopt : std::optional(it->second.share);
 }
 
-double LimitPacer::limitOf(const TargetIncarnation &life) const
+double LimitPacer::limitOf(const TargetIncarnation &incarnation) const
 {
-    const auto it = m_runners.find(life);
+    const auto it = m_runners.find(incarnation);
     return it == m_runners.end() ? 0 : std::max(it->second.perSecond, m_options.minPerSecond);
 }
 
--- a/fulmarlink/limitpacer.h
+++ b/fulmarlink/limitpacer.h
@@ -24,7 +24,7 @@
  * The host's share of a limit is a sequence of time slots, one request each.
  *
  * Each host computes independently which hosts share a runner: the first ones in a rendezvous
- * hash over the live hosts and the runner's life, each with the same rate. The other hosts
+ * hash over the live hosts and the runner's incarnation, each with the same rate. The other hosts
  * send nothing to the runner. Hosts need not communicate for this, so the total stays within
  * the limit while the store is unavailable; it can be wrong only while hosts disagree on
  * which hosts are alive.
@@ -44,19 +44,19 @@
 
     /** Sets the live hosts, with or without @p self; empty: not known. */
     void setHosts(std::vector<std::string> hosts, const std::string &self, TimePoint now, Random &random);
-    void setLimit(const TargetIncarnation &life, double perSecond, TimePoint now, Random &random);
-    void removeLimit(const TargetIncarnation &life);
+    void setLimit(const TargetIncarnation &incarnation, double perSecond, TimePoint now, Random &random);
+    void removeLimit(const TargetIncarnation &incarnation);
 
     /** Whether this host may send the runner a request now; always true if no limit is known. */
-    bool canSend(const TargetIncarnation &life, TimePoint now) const;
+    bool canSend(const TargetIncarnation &incarnation, TimePoint now) const;
     /** Like canSend(), and uses up the slot. */
-    bool tryAcquire(const TargetIncarnation &life, TimePoint now);
+    bool tryAcquire(const TargetIncarnation &incarnation, TimePoint now);
     /** When this host may next send to the runner: @p now if it may at once; nothing if this host has no share of the limit. */
-    std::optional<TimePoint> nextSendTime(const TargetIncarnation &life, TimePoint now) const;
+    std::optional<TimePoint> nextSendTime(const TargetIncarnation &incarnation, TimePoint now) const;
     /** This host's share of the limit, in requests per second; nothing if no limit is known. */
-    std::optional<double> shareOf(const TargetIncarnation &life) const;
+    std::optional<double> shareOf(const TargetIncarnation &incarnation) const;
     /** The runner's limit, in requests per second, but at least LimitPacerOptions::minPerSecond; 0 if no limit is known. */
-    double limitOf(const TargetIncarnation &life) const;
+    double limitOf(const TargetIncarnation &incarnation) const;
     bool hasLimits() const;
     /** Number of live hosts, or the assumed number if they are not known. */
     unsigned hostCount() const;
@@ -71,7 +71,7 @@
     static Duration interval(const PacedRunner &runner);
     Duration slotLifetime(const PacedRunner &runner) const;
     TimePoint usableSlot(const PacedRunner &runner, TimePoint now) const;
-    double computeShare(const TargetIncarnation &life, double perSecond) const;
+    double computeShare(const TargetIncarnation &incarnation, double perSecond) const;
     void setShare(PacedRunner &runner, double share, TimePoint now, Random &random) const;
 
     const LimitPacerOptions m_options;
--- a/fulmarlink/limitwatch.cpp
+++ b/fulmarlink/limitwatch.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-constexpr std::size_t kMaxLoggedMalformed = 1000; ///< lives remembered so that each is logged once
+constexpr std::size_t kMaxLoggedMalformed = 1000; ///< incarnations remembered so that each is logged once
 constexpr Duration kStoreRetry = std::chrono::milliseconds(250); ///< the same as for other store operations
 
 std::chrono::milliseconds unixNow()
@@ -47,22 +47,22 @@
 
 void LimitWatch::handleAnswer(const TargetInfo &target, const RunnerAnswer &answer, TimePoint sent, const std::string &attempt)
 {
-    const TargetIncarnation life{target.id, target.born};
+    const TargetIncarnation incarnation{target.id, target.born};
     if (!answer.malformedLimit.empty()) {
-        reportMalformed(life, answer.malformedLimit);
+        reportMalformed(incarnation, answer.malformedLimit);
         return;
     }
     const bool authoritative = answer.speaksForTarget && (answer.requestLimit || (answer.sealed && !answer.attemptId.empty()));
     if (!authoritative) {
         return;
     }
-    const RunnerLimit *current = m_state.signals.limits.find(life);
+    const RunnerLimit *current = m_state.signals.limits.find(incarnation);
     const RunnerLimit before = current == nullptr ? RunnerLimit{} : *current;
     const LimitObservation observation{answer.requestLimit, sent, m_state.clock.now(), attempt};
-    const LimitChange change = m_state.signals.limits.applyAnswer(life, observation);
-    applyChange(life, change, before);
+    const LimitChange change = m_state.signals.limits.applyAnswer(incarnation, observation);
+    applyChange(incarnation, change, before);
     if (change != LimitChange::None) {
-        queueRecord(life);
+        queueRecord(incarnation);
     }
 }
 
@@ -70,40 +70,40 @@
 {
     std::set<TargetIncarnation> present;
     for (const LimitRecord &record : read.limits) {
-        present.insert(record.life);
-        m_storedLimits[record.life] = record.perSecond;
-        const RunnerLimit *current = m_state.signals.limits.find(record.life);
+        present.insert(record.incarnation);
+        m_storedLimits[record.incarnation] = record.perSecond;
+        const RunnerLimit *current = m_state.signals.limits.find(record.incarnation);
         const bool ownRecord = record.host == m_state.settings.host && current != nullptr;
-        if (ownRecord || m_pendingRecords.contains(record.life)) {
+        if (ownRecord || m_pendingRecords.contains(record.incarnation)) {
             continue; // this host's own knowledge is newer than the record
         }
         const RunnerLimit before = current == nullptr ? RunnerLimit{} : *current;
-        applyChange(record.life, m_state.signals.limits.applyRecord(record.life, record.perSecond, record.host, m_state.clock.now()), before);
+        applyChange(record.incarnation, m_state.signals.limits.applyRecord(record.incarnation, record.perSecond, record.host, m_state.clock.now()), before);
     }
-    for (const TargetIncarnation &life : read.limitsEnded) {
-        handleRemovedRecord(life);
+    for (const TargetIncarnation &incarnation : read.limitsEnded) {
+        handleRemovedRecord(incarnation);
     }
     if (!read.whole) {
         return;
     }
     const std::map<TargetIncarnation, double> stored = m_storedLimits;
-    for (const auto &[life, perSecond] : stored) {
-        if (!present.contains(life)) {
-            handleRemovedRecord(life);
+    for (const auto &[incarnation, perSecond] : stored) {
+        if (!present.contains(incarnation)) {
+            handleRemovedRecord(incarnation);
         }
     }
 }
 
-/** Handles the removal of the record of @p life from the store. */
-void LimitWatch::handleRemovedRecord(const TargetIncarnation &life)
+/** Handles the removal of the record of @p incarnation from the store. */
+void LimitWatch::handleRemovedRecord(const TargetIncarnation &incarnation)
 {
-    m_storedLimits.erase(life);
-    const RunnerLimit *current = m_state.signals.limits.find(life);
-    if (current == nullptr || m_pendingRecords.contains(life)) {
+    m_storedLimits.erase(incarnation);
+    const RunnerLimit *current = m_state.signals.limits.find(incarnation);
+    if (current == nullptr || m_pendingRecords.contains(incarnation)) {
         return;
     }
     const RunnerLimit before = *current;
-    applyChange(life, m_state.signals.limits.remove(life), before);
+    applyChange(incarnation, m_state.signals.limits.remove(incarnation), before);
 }
 
 void LimitWatch::setHosts(const std::vector<std::string> &hosts)
@@ -118,83 +118,83 @@
 void LimitWatch::removeUnlistedRunners()
 {
     std::set<TargetIncarnation> unlisted;
-    for (const TargetIncarnation &life : m_state.signals.limits.lives()) {
-        const TargetInfo *target = m_state.targets.find(life.id);
-        const bool listed = target != nullptr && target->born == life.born;
+    for (const TargetIncarnation &incarnation : m_state.signals.limits.incarnations()) {
+        const TargetInfo *target = m_state.targets.find(incarnation.id);
+        const bool listed = target != nullptr && target->born == incarnation.born;
         if (listed) {
             continue;
         }
-        if (!m_unlistedLives.contains(life)) {
-            unlisted.insert(life);
+        if (!m_unlistedIncarnations.contains(incarnation)) {
+            unlisted.insert(incarnation);
             continue;
         }
-        const RunnerLimit before = *m_state.signals.limits.find(life);
-        applyChange(life, m_state.signals.limits.remove(life), before);
-        queueRecord(life);
+        const RunnerLimit before = *m_state.signals.limits.find(incarnation);
+        applyChange(incarnation, m_state.signals.limits.remove(incarnation), before);
+        queueRecord(incarnation);
     }
-    m_unlistedLives = std::move(unlisted);
+    m_unlistedIncarnations = std::move(unlisted);
 }
 
-void LimitWatch::applyChange(const TargetIncarnation &life, LimitChange change, const RunnerLimit &before)
+void LimitWatch::applyChange(const TargetIncarnation &incarnation, LimitChange change, const RunnerLimit &before)
 {
     if (change == LimitChange::None) {
         return;
     }
     const TimePoint now = m_state.clock.now();
-    const RunnerLimit *current = m_state.signals.limits.find(life);
+    const RunnerLimit *current = m_state.signals.limits.find(incarnation);
     if (current == nullptr) {
-        m_state.signals.pacer.removeLimit(life);
+        m_state.signals.pacer.removeLimit(incarnation);
     } else {
-        m_state.signals.pacer.setLimit(life, current->perSecond, now, m_state.random);
+        m_state.signals.pacer.setLimit(incarnation, current->perSecond, now, m_state.random);
     }
     m_state.counters.set(m_limitedRunnerCount, m_state.signals.limits.size());
     const RunnerLimit &limit = current == nullptr ? before : *current;
     logChange("runner-limit",
-              {{"target", life.id},
-               {"born", std::to_string(life.born)},
+              {{"target", incarnation.id},
+               {"born", std::to_string(incarnation.born)},
                {"change", limitChangeName(change)},
                {"per_second", current == nullptr ? "none" : twoDecimals(current->perSecond)},
                {"before", change == LimitChange::Named ? "none" : twoDecimals(before.perSecond)},
-               {"share", twoDecimals(m_state.signals.pacer.shareOf(life).value_or(0))},
+               {"share", twoDecimals(m_state.signals.pacer.shareOf(incarnation).value_or(0))},
                {"hosts", std::to_string(m_state.signals.pacer.hostCount())},
                {"age_ms", msText(now - limit.since)},
                {"source", limit.source}});
 }
 
-void LimitWatch::reportMalformed(const TargetIncarnation &life, const std::string &text)
+void LimitWatch::reportMalformed(const TargetIncarnation &incarnation, const std::string &text)
 {
     m_state.counters.add(m_malformedLimitCount);
-    if (m_loggedMalformed.size() < kMaxLoggedMalformed && m_loggedMalformed.insert(life).second) {
-        logWarning("runner-limit-malformed", {{"target", life.id}, {"born", std::to_string(life.born)}, {"text", text.substr(0, 64)}});
+    if (m_loggedMalformed.size() < kMaxLoggedMalformed && m_loggedMalformed.insert(incarnation).second) {
+        logWarning("runner-limit-malformed", {{"target", incarnation.id}, {"born", std::to_string(incarnation.born)}, {"text", text.substr(0, 64)}});
     }
 }
 
-void LimitWatch::queueRecord(const TargetIncarnation &life)
+void LimitWatch::queueRecord(const TargetIncarnation &incarnation)
 {
-    m_pendingRecords.insert(life);
+    m_pendingRecords.insert(incarnation);
     m_wakeTimer.cancel();
 }
 
-/** Writes or removes the record of @p life in the store so that it matches what this host knows. */
-asio::awaitable<std::error_code> LimitWatch::synchronizeRecord(TargetIncarnation life)
+/** Writes or removes the record of @p incarnation in the store so that it matches what this host knows. */
+asio::awaitable<std::error_code> LimitWatch::synchronizeRecord(TargetIncarnation incarnation)
 {
-    const auto stored = m_storedLimits.find(life);
-    const RunnerLimit *current = m_state.signals.limits.find(life);
+    const auto stored = m_storedLimits.find(incarnation);
+    const RunnerLimit *current = m_state.signals.limits.find(incarnation);
     const bool exists = stored != m_storedLimits.end();
     if (current == nullptr ? !exists : exists && stored->second == current->perSecond) {
         co_return std::error_code();
     }
     std::error_code error;
     if (current == nullptr) {
-        error = co_await m_platform.removeLimitRecord(life);
+        error = co_await m_platform.removeLimitRecord(incarnation);
         if (!error) {
-            m_storedLimits.erase(life);
+            m_storedLimits.erase(incarnation);
         }
     } else {
-        const LimitRecord record{life, current->perSecond, m_state.settings.host, unixNow()};
+        const LimitRecord record{incarnation, current->perSecond, m_state.settings.host, unixNow()};
         error = co_await m_platform.writeLimitRecord(record);
         if (!error) {
-            m_storedLimits[life] = record.perSecond;
+            m_storedLimits[incarnation] = record.perSecond;
         }
     }
     co_return error;
@@ -212,18 +212,18 @@
             continue;
         }
         const auto next = m_pendingRecords.upper_bound(last);
-        const TargetIncarnation life = next == m_pendingRecords.end() ? *m_pendingRecords.begin() : *next;
-        last = life;
-        const std::error_code error = co_await synchronizeRecord(life);
+        const TargetIncarnation incarnation = next == m_pendingRecords.end() ? *m_pendingRecords.begin() : *next;
+        last = incarnation;
+        const std::error_code error = co_await synchronizeRecord(incarnation);
         if (m_lastWriteSucceeded == static_cast<bool>(error)) {
             m_lastWriteSucceeded = !error;
-            logChange("limit-record-written", {{"done", error ? "false" : "true"}, {"error", error ? error.message() : ""}, {"target", life.id}});
+            logChange("limit-record-written", {{"done", error ? "false" : "true"}, {"error", error ? error.message() : ""}, {"target", incarnation.id}});
         }
-        const RunnerLimit *current = m_state.signals.limits.find(life);
-        const auto stored = m_storedLimits.find(life);
+        const RunnerLimit *current = m_state.signals.limits.find(incarnation);
+        const auto stored = m_storedLimits.find(incarnation);
         const bool upToDate = current == nullptr ? stored == m_storedLimits.end() : stored != m_storedLimits.end() && stored->second == current->perSecond;
         if (upToDate) {
-            m_pendingRecords.erase(life);
+            m_pendingRecords.erase(incarnation);
         }
         co_await sleep(error ? kStoreRetry : m_state.sharedWritePause());
     }
--- a/fulmarlink/limitwatch.h
+++ b/fulmarlink/limitwatch.h
@@ -49,21 +49,21 @@
     void removeUnlistedRunners();
 
 private:
-    void applyChange(const TargetIncarnation &life, LimitChange change, const RunnerLimit &before);
-    void reportMalformed(const TargetIncarnation &life, const std::string &text);
-    void handleRemovedRecord(const TargetIncarnation &life);
-    void queueRecord(const TargetIncarnation &life);
-    boost::asio::awaitable<std::error_code> synchronizeRecord(TargetIncarnation life);
+    void applyChange(const TargetIncarnation &incarnation, LimitChange change, const RunnerLimit &before);
+    void reportMalformed(const TargetIncarnation &incarnation, const std::string &text);
+    void handleRemovedRecord(const TargetIncarnation &incarnation);
+    void queueRecord(const TargetIncarnation &incarnation);
+    boost::asio::awaitable<std::error_code> synchronizeRecord(TargetIncarnation incarnation);
     boost::asio::awaitable<void> sleep(Duration duration);
 
     boost::asio::io_context &m_context;
     GatewayState &m_state;
     Platform &m_platform;
     boost::asio::steady_timer m_wakeTimer; ///< publish() waits on it while no record is pending
-    std::set<TargetIncarnation> m_pendingRecords; ///< lives whose record in the store may differ from what this host knows
+    std::set<TargetIncarnation> m_pendingRecords; ///< incarnations whose record in the store may differ from what this host knows
     std::map<TargetIncarnation, double> m_storedLimits; ///< limits in the store, as last read or written
-    std::set<TargetIncarnation> m_unlistedLives; ///< lives missing from the list of runners at the last removeUnlistedRunners()
-    std::set<TargetIncarnation> m_loggedMalformed; ///< lives whose malformed limit has been logged
+    std::set<TargetIncarnation> m_unlistedIncarnations; ///< incarnations missing from the list of runners at the last removeUnlistedRunners()
+    std::set<TargetIncarnation> m_loggedMalformed; ///< incarnations whose malformed limit has been logged
     bool m_lastWriteSucceeded = true; ///< so that only changes are logged
     Counters::Id m_limitedRunnerCount;
     Counters::Id m_malformedLimitCount;
--- a/fulmarlink/runnerlimits.cpp
+++ b/fulmarlink/runnerlimits.cpp
@@ -22,30 +22,30 @@
     return "none";
 }
 
-LimitChange RunnerLimits::applyAnswer(const TargetIncarnation &life, const LimitObservation &observation)
+LimitChange RunnerLimits::applyAnswer(const TargetIncarnation &incarnation, const LimitObservation &observation)
 {
-    const auto it = m_limits.find(life);
+    const auto it = m_limits.find(incarnation);
     if (it == m_limits.end()) {
-        return observation.perSecond ? applyRecord(life, *observation.perSecond, observation.attempt, observation.now) : LimitChange::None;
+        return observation.perSecond ? applyRecord(incarnation, *observation.perSecond, observation.attempt, observation.now) : LimitChange::None;
     }
     const bool sentAfterConfirmation = observation.sent > it->second.confirmedAt || mutated(Mutation::EndLimitByOldAnswer);
     if (!observation.perSecond) {
-        return sentAfterConfirmation ? remove(life) : LimitChange::None;
+        return sentAfterConfirmation ? remove(incarnation) : LimitChange::None;
     }
     if (*observation.perSecond > it->second.perSecond && !sentAfterConfirmation) {
         return LimitChange::None;
     }
-    return applyRecord(life, *observation.perSecond, observation.attempt, observation.now);
+    return applyRecord(incarnation, *observation.perSecond, observation.attempt, observation.now);
 }
 
-LimitChange RunnerLimits::applyRecord(const TargetIncarnation &life, double perSecond, const std::string &source, TimePoint now)
+LimitChange RunnerLimits::applyRecord(const TargetIncarnation &incarnation, double perSecond, const std::string &source, TimePoint now)
 {
-    const auto it = m_limits.find(life);
+    const auto it = m_limits.find(incarnation);
     if (it == m_limits.end()) {
         if (m_limits.size() >= kMaxLimits) {
             return LimitChange::None;
         }
-        m_limits.emplace(life, RunnerLimit{perSecond, now, now, source});
+        m_limits.emplace(incarnation, RunnerLimit{perSecond, now, now, source});
         return LimitChange::Named;
     }
     RunnerLimit &limit = it->second;
@@ -58,22 +58,22 @@
     return LimitChange::Changed;
 }
 
-LimitChange RunnerLimits::remove(const TargetIncarnation &life)
+LimitChange RunnerLimits::remove(const TargetIncarnation &incarnation)
 {
-    return m_limits.erase(life) > 0 ? LimitChange::Ended : LimitChange::None;
+    return m_limits.erase(incarnation) > 0 ? LimitChange::Ended : LimitChange::None;
 }
 
-const RunnerLimit *RunnerLimits::find(const TargetIncarnation &life) const
+const RunnerLimit *RunnerLimits::find(const TargetIncarnation &incarnation) const
 {
-    const auto it = m_limits.find(life);
+    const auto it = m_limits.find(incarnation);
     return it == m_limits.end() ? nullptr : &it->second;
 }
 
-std::vector<TargetIncarnation> RunnerLimits::lives() const
+std::vector<TargetIncarnation> RunnerLimits::incarnations() const
 {
     std::vector<TargetIncarnation> result;
-    for (const auto &[life, limit] : m_limits) {
-        result.push_back(life);
+    for (const auto &[incarnation, limit] : m_limits) {
+        result.push_back(incarnation);
     }
     return result;
 }
--- a/fulmarlink/runnerlimits.h
+++ b/fulmarlink/runnerlimits.h
@@ -22,7 +22,7 @@
 
 enum class LimitChange : std::uint8_t {
     None,
-    Named, ///< the first known limit of this life of the runner
+    Named, ///< the first known limit of this incarnation of the runner
     Changed,
     Ended,
 };
@@ -38,7 +38,7 @@
 };
 
 /**
- * The limits that runners have announced, as known to this host. A limit belongs to one life
+ * The limits that runners have announced, as known to this host. A limit belongs to one incarnation
  * of a runner.
  *
  * Answers can arrive out of order. An answer therefore removes or raises a limit only if its
@@ -50,17 +50,17 @@
 class RunnerLimits
 {
 public:
-    static constexpr std::size_t kMaxLimits = 4096; ///< lives of runners; a fleet has a few hundred runners
+    static constexpr std::size_t kMaxLimits = 4096; ///< incarnations of runners; a fleet has a few hundred runners
 
-    LimitChange applyAnswer(const TargetIncarnation &life, const LimitObservation &observation);
+    LimitChange applyAnswer(const TargetIncarnation &incarnation, const LimitObservation &observation);
     /** Applies a limit that @p source, another host's record or an attempt's answer, states. */
-    LimitChange applyRecord(const TargetIncarnation &life, double perSecond, const std::string &source, TimePoint now);
+    LimitChange applyRecord(const TargetIncarnation &incarnation, double perSecond, const std::string &source, TimePoint now);
     /** For when another host found that the runner no longer has a limit, or when the runner is gone. */
-    LimitChange remove(const TargetIncarnation &life);
+    LimitChange remove(const TargetIncarnation &incarnation);
 
     /** Null if no limit is known. */
-    const RunnerLimit *find(const TargetIncarnation &life) const;
-    std::vector<TargetIncarnation> lives() const;
+    const RunnerLimit *find(const TargetIncarnation &incarnation) const;
+    std::vector<TargetIncarnation> incarnations() const;
     std::size_t size() const;
 
 private:
--- a/testing/limitedrunner_test.cpp
+++ b/testing/limitedrunner_test.cpp
@@ -252,7 +252,7 @@
     EXPECT_LE(arrivalsSince(fleet.arrivalsAt(0), from), maxInSpan(8));
 }
 
-TEST_F(LimitAtOneHost, AppliesToOneLifeOfTheRunner)
+TEST_F(LimitAtOneHost, AppliesToOneIncarnationOfTheRunner)
 {
     ASSERT_TRUE(knownBy(kHosts));
     setLimit("");
--- a/testing/runnerlimits_test.cpp
+++ b/testing/runnerlimits_test.cpp
@@ -54,7 +54,7 @@
     EXPECT_EQ(limits.applyAnswer(kRunner, observation({}, 4s, 6s)), LimitChange::Ended);
 }
 
-TEST(RunnerLimits, LimitDoesNotApplyToAnotherLifeOfRunner)
+TEST(RunnerLimits, LimitDoesNotApplyToAnotherIncarnationOfRunner)
 {
     RunnerLimits limits;
     limits.applyAnswer(kRunner, observation(2, 1s, 2s));
