--- a/fulmarlink/crashwatch.cpp
+++ b/fulmarlink/crashwatch.cpp
@@ -240,7 +240,7 @@
 
 void CrashWatch::restarted(const std::string &targetId, std::uint64_t born)
 {
-    for (const TargetIncarnation &incarnation : m_state.attempts.livesOf(targetId, m_state.clock.now())) {
+    for (const TargetIncarnation &incarnation : m_state.attempts.incarnationsOf(targetId, m_state.clock.now())) {
         if (incarnation.born != born) {
             handleEnded(incarnation, "started-again");
         }
--- a/fulmarlink/runnerattempts.cpp
+++ b/fulmarlink/runnerattempts.cpp
@@ -5,10 +5,10 @@
 namespace fulmarlink
 {
 
-RunnerAttempts::Token RunnerAttempts::add(const TargetIncarnation &life, CrashSuspect suspect)
+RunnerAttempts::Token RunnerAttempts::add(const TargetIncarnation &incarnation, CrashSuspect suspect)
 {
-    m_attempts.emplace(++m_last, Attempt{life, std::move(suspect)});
-    return m_last;
+    m_attempts.emplace(++m_lastToken, Attempt{incarnation, std::move(suspect)});
+    return m_lastToken;
 }
 
 void RunnerAttempts::markAnswering(Token token)
@@ -25,54 +25,54 @@
     if (it == m_attempts.end()) {
         return;
     }
-    if (outcome == Outcome::Resolved || it->second.taken) {
+    if (outcome == Outcome::Resolved || it->second.reported) {
         m_attempts.erase(it);
     } else {
         it->second.inProgress = false;
         it->second.endedAt = now;
     }
-    forgetOld(now);
+    removeExpired(now);
 }
 
-void RunnerAttempts::forgetOld(TimePoint now)
+void RunnerAttempts::removeExpired(TimePoint now)
 {
     std::erase_if(m_attempts, [now](const auto &entry) {
         return !entry.second.inProgress && now - entry.second.endedAt > kRetention;
     });
 }
 
-bool RunnerAttempts::anyInProgress(const TargetIncarnation &life) const
+bool RunnerAttempts::anyInProgress(const TargetIncarnation &incarnation) const
 {
-    return std::ranges::any_of(m_attempts, [&life](const auto &entry) {
-        return entry.second.inProgress && entry.second.life == life;
+    return std::ranges::any_of(m_attempts, [&incarnation](const auto &entry) {
+        return entry.second.inProgress && entry.second.incarnation == incarnation;
     });
 }
 
-std::vector<CrashSuspect> RunnerAttempts::takeSuspects(const TargetIncarnation &life, TimePoint now)
+std::vector<CrashSuspect> RunnerAttempts::takeSuspects(const TargetIncarnation &incarnation, TimePoint now)
 {
-    forgetOld(now);
+    removeExpired(now);
     std::vector<CrashSuspect> result;
     for (auto &[token, attempt] : m_attempts) {
-        if (attempt.life != life || attempt.taken) {
+        if (attempt.incarnation != incarnation || attempt.reported) {
             continue;
         }
-        attempt.taken = true;
+        attempt.reported = true;
         result.push_back(attempt.suspect);
     }
     std::erase_if(m_attempts, [](const auto &entry) {
-        return entry.second.taken && !entry.second.inProgress;
+        return entry.second.reported && !entry.second.inProgress;
     });
     return result;
 }
 
-std::vector<TargetIncarnation> RunnerAttempts::livesOf(const std::string &id, TimePoint now)
+std::vector<TargetIncarnation> RunnerAttempts::incarnationsOf(const std::string &id, TimePoint now)
 {
-    forgetOld(now);
+    removeExpired(now);
     std::vector<TargetIncarnation> result;
     for (const auto &[token, attempt] : m_attempts) {
-        const bool known = std::ranges::find(result, attempt.life) != result.end();
-        if (attempt.life.id == id && !attempt.taken && !known) {
-            result.push_back(attempt.life);
+        const bool listed = std::ranges::find(result, attempt.incarnation) != result.end();
+        if (attempt.incarnation.id == id && !attempt.reported && !listed) {
+            result.push_back(attempt.incarnation);
         }
     }
     return result;
--- a/fulmarlink/runnerattempts.h
+++ b/fulmarlink/runnerattempts.h
@@ -11,48 +11,51 @@
 {
 
 /**
- * This host's attempts at each life of a runner: those in progress, and those that broke
- * off a short while ago. When the runner turns out to have ended, they are the suspects.
+ * This host's attempts at each incarnation of a runner: those in progress, and those that
+ * broke recently. They are the suspects if the runner is found to have ended.
  *
- * Contract: pure; not thread-safe.
+ * Contract: no I/O, and time is passed in; not thread-safe.
  */
 class RunnerAttempts
 {
 public:
     using Token = std::uint64_t;
-    /** A runner's end is noticed at the latest when its entry lapses or shows a new start: three heartbeats of 1.2 s and one reading of the list. */
+    /**
+     * How long broken attempts are kept. A runner's end is detected at the latest when its list entry expires
+     * or shows a new start, that is after three heartbeats of 1.2 s and one read of the list.
+     */
     static constexpr Duration kRetention = std::chrono::seconds(5);
 
     /** How an attempt ended. */
     enum class Outcome : std::uint8_t {
-        Resolved, ///< answered, refused, or its caller left: the runner's end later is none of its doing
-        Broken, ///< without a word of the runner
+        Resolved, ///< answered, refused, or abandoned by its caller: not a suspect if the runner ends later
+        Broken, ///< broken off before a complete answer or a refusal
     };
 
-    Token add(const TargetIncarnation &life, CrashSuspect suspect);
-    /** The first event of its answer has come. */
+    Token add(const TargetIncarnation &incarnation, CrashSuspect suspect);
+    /** Call when the first event of the answer arrives. */
     void markAnswering(Token token);
     void recordEnd(Token token, Outcome outcome, TimePoint now);
 
-    bool anyInProgress(const TargetIncarnation &life) const;
-    /** Those in progress at @p life and those that broke off there lately; they are given once. */
-    std::vector<CrashSuspect> takeSuspects(const TargetIncarnation &life, TimePoint now);
-    /** Lives of the runner @p id at which attempts are in progress or broke off lately. */
-    std::vector<TargetIncarnation> livesOf(const std::string &id, TimePoint now);
+    bool anyInProgress(const TargetIncarnation &incarnation) const;
+    /** Returns the attempts at @p incarnation that are in progress or broke within kRetention, each of them once. */
+    std::vector<CrashSuspect> takeSuspects(const TargetIncarnation &incarnation, TimePoint now);
+    /** Returns the incarnations of the runner @p id with attempts that are in progress or broke within kRetention. */
+    std::vector<TargetIncarnation> incarnationsOf(const std::string &id, TimePoint now);
 
 private:
     struct Attempt {
-        TargetIncarnation life;
+        TargetIncarnation incarnation;
         CrashSuspect suspect;
         bool inProgress = true;
-        bool taken = false; ///< counted at the end of its runner
+        bool reported = false; ///< returned by takeSuspects()
         TimePoint endedAt{};
     };
 
-    void forgetOld(TimePoint now);
+    void removeExpired(TimePoint now);
 
     std::map<Token, Attempt> m_attempts;
-    Token m_last = 0;
+    Token m_lastToken = 0;
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/runnerbackoff.cpp
+++ b/fulmarlink/runnerbackoff.cpp
@@ -36,12 +36,12 @@
     return m_window > 0;
 }
 
-bool RunnerBackoff::maySend(unsigned open, TimePoint now) const
+bool RunnerBackoff::maySend(unsigned inFlight, TimePoint now) const
 {
     if (isBackingOff(now)) {
         return false;
     }
-    return m_window == 0 || open < m_window || mutated(Mutation::SkipSlowStart);
+    return m_window == 0 || inFlight < m_window || mutated(Mutation::SkipSlowStart);
 }
 
 TimePoint RunnerBackoff::until() const
--- a/fulmarlink/runnersignals.cpp
+++ b/fulmarlink/runnersignals.cpp
@@ -24,18 +24,18 @@
     return "none";
 }
 
-/** Null if there are too many. */
-RunnerSignals::Signal *RunnerSignals::add(const TargetIncarnation &life)
+/** Returns null if the incarnation is not tracked yet and kMaxIncarnations others are. */
+RunnerSignals::Signal *RunnerSignals::findOrAdd(const TargetIncarnation &incarnation)
 {
-    if (m_signals.size() >= kMaxLives && !m_signals.contains(life)) {
+    if (m_signals.size() >= kMaxIncarnations && !m_signals.contains(incarnation)) {
         return nullptr;
     }
-    return &m_signals[life];
+    return &m_signals[incarnation];
 }
 
-bool RunnerSignals::recordBackoff(const TargetIncarnation &life, Duration asked, Duration spread, const std::string &attempt, TimePoint now)
+bool RunnerSignals::recordBackoff(const TargetIncarnation &incarnation, Duration duration, Duration spread, const std::string &source, TimePoint now)
 {
-    Signal *signal = add(life);
+    Signal *signal = findOrAdd(incarnation);
     if (signal == nullptr) {
         return false;
     }
@@ -45,88 +45,88 @@
         signal->hasRequest = true;
     }
     ++signal->request.refusedAttempts;
-    const bool extended = signal->backoff.extend(now + asked + spread);
+    const bool extended = signal->backoff.extend(now + duration + spread);
     if (extended) {
-        signal->request.duration = asked;
-        signal->request.source = attempt;
+        signal->request.duration = duration;
+        signal->request.source = source;
     }
     return extended;
 }
 
-void RunnerSignals::recordAccepted(const TargetIncarnation &life, TimePoint sent, unsigned slots)
+void RunnerSignals::recordAccepted(const TargetIncarnation &incarnation, TimePoint sent, unsigned slots)
 {
-    const auto it = m_signals.find(life);
+    const auto it = m_signals.find(incarnation);
     if (it != m_signals.end()) {
         it->second.backoff.recordAccepted(sent, slots);
     }
 }
 
-bool RunnerSignals::markLeaving(const TargetIncarnation &life)
+bool RunnerSignals::markLeaving(const TargetIncarnation &incarnation)
 {
-    Signal *signal = add(life);
-    const bool news = signal != nullptr && !signal->leaving;
-    if (news) {
+    Signal *signal = findOrAdd(incarnation);
+    const bool isNew = signal != nullptr && !signal->leaving;
+    if (isNew) {
         signal->leaving = true;
     }
-    return news;
+    return isNew;
 }
 
-void RunnerSignals::forget(const TargetIncarnation &life)
+void RunnerSignals::forget(const TargetIncarnation &incarnation)
 {
-    m_signals.erase(life);
+    m_signals.erase(incarnation);
 }
 
-RunnerExclusion RunnerSignals::exclusion(const TargetIncarnation &life, unsigned open, TimePoint now) const
+RunnerExclusion RunnerSignals::exclusion(const TargetIncarnation &incarnation, unsigned inFlight, TimePoint now) const
 {
-    const auto it = m_signals.find(life);
+    const auto it = m_signals.find(incarnation);
     if (it != m_signals.end()) {
         if (it->second.leaving && !mutated(Mutation::IgnoreLeavingAnswer)) {
             return RunnerExclusion::Leaving;
         }
-        if (!it->second.backoff.maySend(open, now) && !mutated(Mutation::IgnoreBackoff)) {
+        if (!it->second.backoff.maySend(inFlight, now) && !mutated(Mutation::IgnoreBackoff)) {
             return it->second.backoff.isBackingOff(now) ? RunnerExclusion::BackingOff : RunnerExclusion::SlowStart;
         }
     }
-    return !pacer.hasLimits() || pacer.canSend(life, now) ? RunnerExclusion::None : RunnerExclusion::RateLimited;
+    return !pacer.hasLimits() || pacer.canSend(incarnation, now) ? RunnerExclusion::None : RunnerExclusion::RateLimited;
 }
 
-RunnerExclusion RunnerSignals::reserveSend(const TargetIncarnation &life, unsigned open, TimePoint now)
+RunnerExclusion RunnerSignals::reserveSend(const TargetIncarnation &incarnation, unsigned inFlight, TimePoint now)
 {
-    const RunnerExclusion found = exclusion(life, open, now);
-    if (found != RunnerExclusion::None) {
-        return found;
+    const RunnerExclusion reason = exclusion(incarnation, inFlight, now);
+    if (reason != RunnerExclusion::None) {
+        return reason;
     }
-    return pacer.tryAcquire(life, now) ? RunnerExclusion::None : RunnerExclusion::RateLimited;
+    return pacer.tryAcquire(incarnation, now) ? RunnerExclusion::None : RunnerExclusion::RateLimited;
 }
 
-std::optional<TimePoint> RunnerSignals::nextSendTime(const TargetIncarnation &life, TimePoint now) const
+std::optional<TimePoint> RunnerSignals::nextSendTime(const TargetIncarnation &incarnation, TimePoint now) const
 {
-    const auto it = m_signals.find(life);
+    const auto it = m_signals.find(incarnation);
     if (it != m_signals.end() && it->second.leaving) {
         return std::nullopt;
     }
-    const std::optional<TimePoint> limited = pacer.nextSendTime(life, now);
+    const std::optional<TimePoint> limited = pacer.nextSendTime(incarnation, now);
     if (!limited || it == m_signals.end()) {
         return limited;
     }
     return std::max(*limited, it->second.backoff.until());
 }
 
-bool RunnerSignals::isLeaving(const TargetIncarnation &life) const
+bool RunnerSignals::isLeaving(const TargetIncarnation &incarnation) const
 {
-    const auto it = m_signals.find(life);
+    const auto it = m_signals.find(incarnation);
     return it != m_signals.end() && it->second.leaving;
 }
 
-bool RunnerSignals::inSlowStart(const TargetIncarnation &life, TimePoint now) const
+bool RunnerSignals::inSlowStart(const TargetIncarnation &incarnation, TimePoint now) const
 {
-    const auto it = m_signals.find(life);
+    const auto it = m_signals.find(incarnation);
     return it != m_signals.end() && it->second.backoff.active() && !it->second.backoff.isBackingOff(now);
 }
 
-const BackoffRequest *RunnerSignals::activeBackoff(const TargetIncarnation &life) const
+const BackoffRequest *RunnerSignals::activeBackoff(const TargetIncarnation &incarnation) const
 {
-    const auto it = m_signals.find(life);
+    const auto it = m_signals.find(incarnation);
     return it == m_signals.end() || !it->second.hasRequest ? nullptr : &it->second.request;
 }
 
@@ -152,11 +152,11 @@
     return result;
 }
 
-std::vector<TargetIncarnation> RunnerSignals::lives() const
+std::vector<TargetIncarnation> RunnerSignals::incarnations() const
 {
     std::vector<TargetIncarnation> result;
-    for (const auto &[life, signal] : m_signals) {
-        result.push_back(life);
+    for (const auto &[incarnation, signal] : m_signals) {
+        result.push_back(incarnation);
     }
     return result;
 }
--- a/fulmarlink/runnersignals.h
+++ b/fulmarlink/runnersignals.h
@@ -14,76 +14,77 @@
 namespace fulmarlink
 {
 
-/** Why a listed runner gets no request from this host now, by its own word. */
+/** Why this host currently sends no requests to a listed runner, according to what the runner itself has reported. */
 enum class RunnerExclusion : std::uint8_t {
     None,
-    Leaving, ///< it is about to end
-    BackingOff, ///< it wants nothing from this host for some time
-    SlowStart, ///< that time is over, and enough requests are open there for now
-    RateLimited, ///< this host has used its part of the requests a second that the runner takes from all hosts
+    Leaving, ///< the runner is about to shut down
+    BackingOff, ///< the runner has asked this host to send nothing for some time, and that time has not passed
+    SlowStart, ///< the backoff has expired, and the slow-start window is full
+    RateLimited, ///< this host has used its share of the requests per second that the runner accepts from all hosts
 };
 
 std::string_view runnerExclusionName(RunnerExclusion exclusion);
 
-/** That a runner asked this host to back off, for the log. */
+/** A runner's request that this host back off, as kept for the log. */
 struct BackoffRequest {
     Duration duration{0};
-    TimePoint since{}; ///< the first one of an unbroken row
-    std::string source; ///< the attempt that was refused last
-    unsigned refusedAttempts = 0; ///< attempts in that row
+    TimePoint since{}; ///< time of the first refusal in an uninterrupted series
+    std::string source; ///< the attempt whose refusal last set the backoff
+    unsigned refusedAttempts = 0; ///< in that series
 };
 
 /**
- * What runners' own answers have told this host of the requests that they want: whether they
- * are leaving, for how long they want none, and how many a second they take from all hosts.
+ * Flow-control state that runners have reported to this host in their answers: whether they are
+ * leaving, how long they want no requests, and how many per second they accept from all hosts.
  *
- * The one place that is asked before a request goes out; a further signal is a field here and
- * a rule in exclusion(). All is kept by life: a runner that has started again has said nothing.
+ * Every send is checked here; a new kind of signal is a field here and a rule in exclusion().
+ * State is kept per incarnation, so that a restarted runner begins with none.
  *
- * Contract: pure; not thread-safe; O(log n) in the runners that have told anything.
+ * Contract: no I/O, and time is passed in; not thread-safe; O(log n) in the incarnations tracked,
+ * except for backingOffCount(), takeExpiredBackoffs() and incarnations(), which visit all of them.
  */
 class RunnerSignals
 {
 public:
-    static constexpr std::size_t kMaxLives = 4096; ///< a fleet has some hundred runners
+    static constexpr std::size_t kMaxIncarnations = 4096; ///< a fleet has a few hundred runners
 
-    /** @p spread: how much later than @p asked this host begins again. False if it backs off for that long already. */
-    bool recordBackoff(const TargetIncarnation &life, Duration asked, Duration spread, const std::string &attempt, TimePoint now);
-    /** The runner has begun to answer a request that was sent at @p sent. */
-    void recordAccepted(const TargetIncarnation &life, TimePoint sent, unsigned slots);
-    /** False if that was known. */
-    bool markLeaving(const TargetIncarnation &life);
-    void forget(const TargetIncarnation &life);
+    /** Backs off for @p duration plus @p spread, the delay that staggers the hosts. Returns false if that extends nothing or the state is full. */
+    bool recordBackoff(const TargetIncarnation &incarnation, Duration duration, Duration spread, const std::string &source, TimePoint now);
+    /** Call when the runner begins to answer a request that was sent at @p sent. */
+    void recordAccepted(const TargetIncarnation &incarnation, TimePoint sent, unsigned slots);
+    /** Returns false if the runner was already marked. */
+    bool markLeaving(const TargetIncarnation &incarnation);
+    void forget(const TargetIncarnation &incarnation);
 
-    /** @p open: this host's requests there. */
-    RunnerExclusion exclusion(const TargetIncarnation &life, unsigned open, TimePoint now) const;
-    /** The same for a request that goes out now, and uses up the room that it takes. */
-    RunnerExclusion reserveSend(const TargetIncarnation &life, unsigned open, TimePoint now);
-    /** When a request may go there again; nothing if that can't be told. */
-    std::optional<TimePoint> nextSendTime(const TargetIncarnation &life, TimePoint now) const;
+    /** @p inFlight is the number of requests that this host has open at the runner. */
+    RunnerExclusion exclusion(const TargetIncarnation &incarnation, unsigned inFlight, TimePoint now) const;
+    /** Same as exclusion(), but for a request that is sent now: also consumes rate-limit capacity for it. */
+    RunnerExclusion reserveSend(const TargetIncarnation &incarnation, unsigned inFlight, TimePoint now);
+    /** Earliest time for the next request; empty if unknown. */
+    std::optional<TimePoint> nextSendTime(const TargetIncarnation &incarnation, TimePoint now) const;
 
-    bool isLeaving(const TargetIncarnation &life) const;
-    /** Its backoff is over, and it has not taken enough requests since then to be trusted with second sends. */
-    bool inSlowStart(const TargetIncarnation &life, TimePoint now) const;
-    /** Null if the runner has not asked for it, or it is over. */
-    const BackoffRequest *activeBackoff(const TargetIncarnation &life) const;
+    bool isLeaving(const TargetIncarnation &incarnation) const;
+    /** True if the backoff has expired but the runner has not yet accepted enough requests to be used for second sends. */
+    bool inSlowStart(const TargetIncarnation &incarnation, TimePoint now) const;
+    /** Null if the runner has not asked for a backoff, or takeExpiredBackoffs() has returned it. */
+    const BackoffRequest *activeBackoff(const TargetIncarnation &incarnation) const;
     std::size_t backingOffCount(TimePoint now) const;
-    /** Ends what has passed; the lives whose time was over at @p now for the first time. */
+    /** Returns each backoff once, when it has expired by @p now, and drops entries that have no state left. */
     std::map<TargetIncarnation, BackoffRequest> takeExpiredBackoffs(TimePoint now);
-    std::vector<TargetIncarnation> lives() const;
+    std::vector<TargetIncarnation> incarnations() const;
 
-    RunnerLimits limits; ///< requests a second that runners have named
-    LimitPacer pacer; ///< this host's part of them
+    RunnerLimits limits; ///< requests per second that runners have announced
+    LimitPacer pacer; ///< this host's share of them
 
 private:
     struct Signal {
         RunnerBackoff backoff;
         BackoffRequest request;
-        bool hasRequest = false; ///< `request` holds
+        bool hasRequest = false; ///< whether `request` is valid
         bool leaving = false;
     };
 
-    Signal *add(const TargetIncarnation &life);
+    Signal *findOrAdd(const TargetIncarnation &incarnation);
 
     std::map<TargetIncarnation, Signal> m_signals;
 };
--- a/fulmarlink/signalwatch.cpp
+++ b/fulmarlink/signalwatch.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr std::size_t kMaxMalformed = 1000; ///< lives remembered, so that each is told of once
+constexpr std::size_t kMaxMalformedLogged = 1000; ///< incarnations remembered, so that each is logged once
 
 } // namespace
 
@@ -26,15 +26,15 @@
 {
 }
 
-/** Each host begins again with one request; where hosts are more than the runner has slots they do so one after the other. */
+/** Random delay after a backoff. Each host resumes with one request; if there are more hosts than slots, the delay staggers them. */
 Duration SignalWatch::spread(const TargetInfo &target)
 {
     const double hostsPerSlot = static_cast<double>(m_state.signals.pacer.hostCount()) / std::max(1U, target.slots);
     if (hostsPerSlot <= 1) {
         return Duration(0);
     }
-    const auto most = static_cast<Duration::rep>(static_cast<double>(m_state.pool(target.pool).serviceTime.mean().count()) * (hostsPerSlot - 1));
-    return Duration(std::uniform_int_distribution<Duration::rep>(0, most)(m_state.random));
+    const auto maxSpread = static_cast<Duration::rep>(static_cast<double>(m_state.pool(target.pool).serviceTime.mean().count()) * (hostsPerSlot - 1));
+    return Duration(std::uniform_int_distribution<Duration::rep>(0, maxSpread)(m_state.random));
 }
 
 void SignalWatch::handleAnswer(const TargetInfo &target, const RunnerAnswer &answer, const std::string &source)
@@ -55,23 +55,24 @@
 
 void SignalWatch::noteBackoff(const TargetInfo &target, Duration asked, const std::string &source)
 {
-    const TargetIncarnation life{target.id, target.born};
+    const TargetIncarnation incarnation{target.id, target.born};
     const TimePoint now = m_state.clock.now();
-    const bool news = m_state.signals.activeBackoff(life) == nullptr;
+    const bool isNew = m_state.signals.activeBackoff(incarnation) == nullptr;
     const Duration spread = this->spread(target);
-    const bool extended = m_state.signals.recordBackoff(life, asked, spread, source, now);
+    const bool extended = m_state.signals.recordBackoff(incarnation, asked, spread, source, now);
     m_state.counters.add(m_backoffs);
     m_state.counters.set(m_backingOff, m_state.signals.backingOffCount(now));
-    if (m_state.signals.activeBackoff(life) == nullptr) {
-        logWarning("runner-signals-full", {{"target", life.id}, {"born", std::to_string(life.born)}, {"lives", std::to_string(RunnerSignals::kMaxLives)}});
+    if (m_state.signals.activeBackoff(incarnation) == nullptr) {
+        logWarning("runner-signals-full",
+                   {{"target", incarnation.id}, {"born", std::to_string(incarnation.born)}, {"lives", std::to_string(RunnerSignals::kMaxIncarnations)}});
     }
     if (!extended) {
         return;
     }
     logChange("runner-backoff",
-              {{"target", life.id},
-               {"born", std::to_string(life.born)},
-               {"change", news ? "begins" : "extended"},
+              {{"target", incarnation.id},
+               {"born", std::to_string(incarnation.born)},
+               {"change", isNew ? "begins" : "extended"},
                {"asked_ms", msText(asked)},
                {"spread_ms", msText(spread)},
                {"open", std::to_string(m_state.targets.ownRequests(target.id))},
@@ -80,15 +81,15 @@
 
 void SignalWatch::noteLeaving(const TargetInfo &target, const std::string &source)
 {
-    const TargetIncarnation life{target.id, target.born};
+    const TargetIncarnation incarnation{target.id, target.born};
     m_state.counters.add(m_leaving);
-    if (!m_state.signals.markLeaving(life)) {
+    if (!m_state.signals.markLeaving(incarnation)) {
         return;
     }
     m_state.connections->drop(target.id);
     logChange("runner-leaving",
-              {{"target", life.id},
-               {"born", std::to_string(life.born)},
+              {{"target", incarnation.id},
+               {"born", std::to_string(incarnation.born)},
                {"listed_leaving", target.leaving ? "true" : "false"},
                {"open", std::to_string(m_state.targets.ownRequests(target.id))},
                {"source", source}});
@@ -97,10 +98,10 @@
 void SignalWatch::expireBackoffs()
 {
     const TimePoint now = m_state.clock.now();
-    for (const auto &[life, request] : m_state.signals.takeExpiredBackoffs(now)) {
+    for (const auto &[incarnation, request] : m_state.signals.takeExpiredBackoffs(now)) {
         logChange("runner-backoff",
-                  {{"target", life.id},
-                   {"born", std::to_string(life.born)},
+                  {{"target", incarnation.id},
+                   {"born", std::to_string(incarnation.born)},
                    {"change", "ended"},
                    {"asked_ms", msText(request.duration)},
                    {"age_ms", msText(now - request.since)},
@@ -113,25 +114,25 @@
 void SignalWatch::removeUnlistedRunners()
 {
     std::set<TargetIncarnation> unlisted;
-    for (const TargetIncarnation &life : m_state.signals.lives()) {
-        const TargetInfo *target = m_state.targets.find(life.id);
-        if (target != nullptr && target->born == life.born) {
+    for (const TargetIncarnation &incarnation : m_state.signals.incarnations()) {
+        const TargetInfo *target = m_state.targets.find(incarnation.id);
+        if (target != nullptr && target->born == incarnation.born) {
             continue;
         }
-        if (m_unlisted.contains(life)) {
-            m_state.signals.forget(life);
+        if (m_unlisted.contains(incarnation)) {
+            m_state.signals.forget(incarnation);
         } else {
-            unlisted.insert(life);
+            unlisted.insert(incarnation);
         }
     }
     m_unlisted = std::move(unlisted);
 }
 
-void SignalWatch::noteMalformed(const TargetIncarnation &life, const std::string &text)
+void SignalWatch::noteMalformed(const TargetIncarnation &incarnation, const std::string &text)
 {
     m_state.counters.add(m_malformedBackoffs);
-    if (m_malformed.size() < kMaxMalformed && m_malformed.insert(life).second) {
-        logWarning("runner-backoff-malformed", {{"target", life.id}, {"born", std::to_string(life.born)}, {"text", text.substr(0, 64)}});
+    if (m_malformed.size() < kMaxMalformedLogged && m_malformed.insert(incarnation).second) {
+        logWarning("runner-backoff-malformed", {{"target", incarnation.id}, {"born", std::to_string(incarnation.born)}, {"text", text.substr(0, 64)}});
     }
 }
 
--- a/fulmarlink/signalwatch.h
+++ b/fulmarlink/signalwatch.h
@@ -12,30 +12,30 @@
 {
 
 /**
- * Takes in what runners' answers tell this host alone: to back off, and that they are
- * leaving. Logs and counts each change. Limits, which hosts share, are LimitWatch's.
+ * Handles the signals in runners' answers that concern only the host that receives them: backoff
+ * requests and leaving. Logs and counts each change. LimitWatch handles rate limits, which hosts share.
  */
 class SignalWatch final : public RunnerAnswerObserver
 {
 public:
     explicit SignalWatch(GatewayState &state);
 
-    /** The head of any answer that came on a connection to @p target, also one that belongs to another attempt than @p source. */
+    /** Handles the head of any answer received on a connection to @p target, even if it belongs to another attempt than @p source. */
     void handleAnswer(const TargetInfo &target, const RunnerAnswer &answer, const std::string &source) override;
-    /** Called often: logs what is over. */
+    /** Logs the backoffs that have expired. Call often. */
     void expireBackoffs();
-    /** Called now and then: what runners said that are gone is forgotten. */
+    /** Drops the state of each incarnation that two successive calls did not find on the list of runners. Call occasionally. */
     void removeUnlistedRunners();
 
 private:
     void noteBackoff(const TargetInfo &target, Duration asked, const std::string &source);
     void noteLeaving(const TargetInfo &target, const std::string &source);
-    void noteMalformed(const TargetIncarnation &life, const std::string &text);
+    void noteMalformed(const TargetIncarnation &incarnation, const std::string &text);
     Duration spread(const TargetInfo &target);
 
     GatewayState &m_state;
-    std::set<TargetIncarnation> m_unlisted; ///< lives that the list of runners did not have when removeUnlistedRunners() last looked
-    std::set<TargetIncarnation> m_malformed; ///< lives that a line has told of
+    std::set<TargetIncarnation> m_unlisted; ///< incarnations that the list of runners lacked at the last removeUnlistedRunners()
+    std::set<TargetIncarnation> m_malformed; ///< incarnations whose malformed backoff has been logged
     Counters::Id m_backingOff;
     Counters::Id m_backoffs;
     Counters::Id m_malformedBackoffs;
--- a/testing/leavingrunner_test.cpp
+++ b/testing/leavingrunner_test.cpp
@@ -1,9 +1,9 @@
-// Runners that say in their answers that they are leaving.
+// Runners that report in their answers that they are leaving.
 //
-// Same cause as for runners that ask to back off: what a runner says of itself in its answers
-// reached no decision. The list of runners tells of its leaving, but the list is late, stale or
-// away at times, and the runner ends all the same. What counts is what the runner got from each
-// host after it had told that host.
+// Guards against runner selection that uses nothing of what a runner reports in its answers, which is
+// also how backoffs were ignored. The list of runners shows that a runner is leaving, but may be late,
+// stale or unavailable, and the runner shuts down regardless. The tests measure the requests that the
+// runner got from each host after it had informed that host.
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -22,24 +22,24 @@
 using namespace std::chrono_literals;
 
 constexpr unsigned kHosts = 3;
-constexpr auto kDrain = 500ms; ///< in which a host that has passed on such an answer sends there no more
+constexpr auto kInTransit = 500ms; ///< allowance for requests in transit when a host relays the first answer that says so
 
-/** Requests that came from a host later than kDrain after the first one of it since @p from. */
+/** Number of requests that arrived more than kInTransit after the first one from the same host since @p from. */
 std::size_t lateRequests(const std::vector<FleetArrival> &requests, GatewayFleet::Time from)
 {
-    std::map<unsigned, GatewayFleet::Time> told;
+    std::map<unsigned, GatewayFleet::Time> firstArrivals;
     std::size_t late = 0;
     for (const FleetArrival &request : requests) {
         if (request.at < from) {
             continue;
         }
-        const auto [it, first] = told.try_emplace(request.gateway, request.at);
-        late += !first && request.at > it->second + kDrain ? 1 : 0;
+        const auto [it, first] = firstArrivals.try_emplace(request.gateway, request.at);
+        late += !first && request.at > it->second + kInTransit ? 1 : 0;
     }
     return late;
 }
 
-/** The list says all the while that the runner is ready. */
+/** The list of runners shows the runner as ready throughout. */
 class LeavingRunner : public ::testing::Test
 {
 public:
@@ -55,7 +55,7 @@
     {
         fleet.run(200ms);
         EXPECT_EQ(lateRequests(fleet.requestsAt(0), from), 0U) << "of " << fleet.requestsAt(0).size();
-        EXPECT_EQ(load.answered(503), 0U) << "the others had room";
+        EXPECT_EQ(load.answered(503), 0U) << "the other runners had capacity";
     }
 
     GatewayFleet fleet{{.gateways = kHosts, .runners = 3}};
@@ -65,15 +65,15 @@
 
 } // namespace
 
-// Guards against requests to a runner that has told this host that it is leaving, while the list still says that it is ready.
-TEST_F(LeavingRunner, GetsNoRequestFromAHostThatItHasTold)
+// Guards against sending to a runner that has told this host it is leaving while the list still shows it as ready.
+TEST_F(LeavingRunner, GetsNoRequestsFromAHostItHasInformed)
 {
     load.run(2500ms, "/once/x");
     expectNoMoreRequests();
 }
 
-// Guards against a list that is stale since the store is away, and is believed more than the runner.
-TEST_F(LeavingRunner, GetsNoneWhileTheStoreIsAway)
+// Guards against trusting a list that is stale because the store is unreachable over the runner's own answer.
+TEST_F(LeavingRunner, GetsNoRequestsWhileTheStoreIsUnreachable)
 {
     for (const auto &proxy : fleet.storeProxies) {
         proxy->setMode(ProxyMode::Refuse);
@@ -82,26 +82,26 @@
     expectNoMoreRequests();
 }
 
-// Guards against resumed streams and second sends, which choose a runner anew.
-TEST_F(LeavingRunner, GetsNoResumedStreamsNorSecondSends)
+// Guards against resumed streams and second sends, which select a runner again, choosing the leaving one.
+TEST_F(LeavingRunner, GetsNoResumedStreamsOrSecondSends)
 {
     load.run(1500ms, "/stream/cut");
     load.run(1500ms, "/again/reset");
     expectNoMoreRequests();
 }
 
-// Guards against a refusal whose head is read for its time alone.
-TEST_F(LeavingRunner, GetsNoneAfterItHasSaidSoInARefusalThatAsksToBackOffForAMoment)
+// Guards against reading only Retry-After from the head of a refusal and missing that the runner is leaving.
+TEST_F(LeavingRunner, GetsNoRequestsAfterReportingItInARefusalWithAShortBackoff)
 {
     fleet.refuse(0, 1, "0.1");
     load.run(2500ms, "/again/x");
     expectNoMoreRequests();
 }
 
-TEST_F(LeavingRunner, GetsRequestsAgainInItsNextLifeAndNotBefore)
+TEST_F(LeavingRunner, GetsRequestsAgainOnlyInItsNextIncarnation)
 {
     load.run(1500ms, "/again/x");
-    fleet.store.set("servers", "unrelated", 7); // a change of the list brings nobody back
+    fleet.store.set("servers", "unrelated", 7); // a change of the list must not make the runner usable again
     load.run(1500ms, "/again/x");
     expectNoMoreRequests();
     fleet.runner(0).leaving = false;
@@ -110,11 +110,11 @@
     fleet.run(1000ms);
     const std::size_t before = fleet.requestsAt(0).size();
     load.run(3000ms, "/again/x");
-    EXPECT_GE(fleet.requestsAt(0).size() - before, 30U) << "half of its part; runners that are equally loaded are chosen by chance";
+    EXPECT_GE(fleet.requestsAt(0).size() - before, 30U) << "half of its share; ties in load are broken at random";
 }
 
-// Guards against a host that has sent it nothing yet, and reads its report without hearing what the answer says.
-TEST(LeavingRunners, AreHeardInTheirReports)
+// Guards against a host that has sent the runner no request yet and ignores the leaving signal on its report.
+TEST(LeavingRunners, AreRecognizedByTheirReports)
 {
     GatewayFleet fleet({.gateways = 1, .runners = 2, .group = true});
     fleet.runner(0).leaving = true;
@@ -131,7 +131,7 @@
     EXPECT_EQ(load.answered(503), 0U);
 }
 
-TEST_F(LeavingRunner, AHostThatDoesNotHearWhatItsAnswersSayIsCaught)
+TEST_F(LeavingRunner, HostThatIgnoresLeavingAnswersIsDetected)
 {
     const ScopedMutation scoped(Mutation::IgnoreLeavingAnswer);
     load.run(2000ms, "/once/x");
--- a/testing/runnerbackoff_test.cpp
+++ b/testing/runnerbackoff_test.cpp
@@ -1,12 +1,12 @@
-// Runners that turn requests away with 503 and Retry-After.
+// Runners that refuse requests with 503 and Retry-After.
 //
-// Seen: a runner that had sent Retry-After: 3 to a host got 17 requests from it in that time, and
-// three of five callers were refused while eleven other ranks had room. How it came about: each
-// refused request went on to the next runner, and the next request to the runner that had just
-// refused, since it looked the least loaded. Cause: a refusal was known to its own request alone;
-// nothing of it was kept with the runner. Proved by these tests: before the repair one host alone
-// shows it, without a repeat, a new configuration or a new list of runners. What counts is what
-// the runners got, by host, and which callers were refused.
+// Guards against a host that keeps sending to a runner during its Retry-After: one that had sent
+// Retry-After: 3 got 17 requests from the same host in that time, and three of five callers were
+// refused while eleven other ranks had capacity. Each refused request went on to the next runner, but
+// the refusal was known only to that request and not kept with the runner, so the next request chose
+// the runner that had just refused, since it looked the least loaded. A single host is enough to reproduce this, without a retry, a new configuration or
+// a new list of runners. The tests measure the requests each runner got from each host, and the
+// callers refused.
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -23,14 +23,14 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kNotice = 500ms; ///< for requests that were on their way when the runner asked
+constexpr auto kInTransit = 500ms; ///< allowance for requests in transit when the runner refused
 
-/** Requests of a gateway that reached the runner while it wanted none from there. */
+/** Number of requests that reached the runner from a gateway that it had told to back off. */
 std::size_t unwantedRequests(const std::vector<FleetArrival> &requests)
 {
     return static_cast<std::size_t>(std::ranges::count_if(requests, [&](const FleetArrival &request) {
         return std::ranges::any_of(requests, [&](const FleetArrival &refused) {
-            return refused.gateway == request.gateway && request.at > refused.at + kNotice && request.at < refused.backoffUntil;
+            return refused.gateway == request.gateway && request.at > refused.at + kInTransit && request.at < refused.backoffUntil;
         });
     }));
 }
@@ -46,10 +46,10 @@
     const char *name;
     unsigned gateways;
     unsigned runners;
-    unsigned refusing; ///< of the runners
-    double share; ///< of their requests that they turn away
+    unsigned refusing; ///< number of runners that refuse requests
+    double share; ///< fraction of their requests that they refuse
     const char *retryAfter;
-    double demand; ///< requests a second
+    double demand; ///< requests per second
     const char *path;
     bool group;
 };
@@ -70,8 +70,8 @@
 
 } // namespace
 
-// Guards against requests that go to a runner although it has sent this host a Retry-After that has not passed.
-TEST_P(RunnerBackoff, AHostSendsNothingToARunnerBeforeItsRetryAfterHasPassed)
+// Guards against sending to a runner whose Retry-After for this host has not expired.
+TEST_P(RunnerBackoff, NoRequestsAreSentBeforeRetryAfterExpires)
 {
     const Case &value = GetParam();
     GatewayFleet fleet({.gateways = value.gateways, .runners = value.runners, .group = value.group});
@@ -87,7 +87,7 @@
         EXPECT_GE(refusals(fleet.requestsAt(i)), 1U);
         EXPECT_EQ(unwantedRequests(fleet.requestsAt(i)), 0U) << "of " << fleet.requestsAt(i).size() << " at runner " << i;
     }
-    EXPECT_EQ(load.answered(503) + load.answered(429), 0U) << "the other runners had room";
+    EXPECT_EQ(load.answered(503) + load.answered(429), 0U) << "the other runners had capacity";
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleet,
@@ -99,8 +99,8 @@
                                            Case{"SixteenHostsHalfIsTurnedAway", 16, 6, 2, 0.5, "2.5", 120, "/once/x", false}),
                          caseName);
 
-// Guards against second sends and resumed streams that do not look whether the runner has asked this host to wait.
-TEST(RunnersBackoff, HoldsForSecondSendsAndResumedStreams)
+// Guards against second sends and resumed streams that ignore the backoff.
+TEST(RunnersBackoff, AppliesToSecondSendsAndResumedStreams)
 {
     GatewayFleet fleet({.gateways = 2, .runners = 4});
     ASSERT_TRUE(fleet.start());
@@ -114,8 +114,8 @@
     EXPECT_EQ(unwantedRequests(fleet.requestsAt(1)), 0U);
 }
 
-// Guards against callers that are told to come back, or are sent to runners, while every runner still has time of its Retry-After left.
-TEST(RunnersBackoff, WhereAllRunnersWantNothingCallersAreRefusedAtOnceUntilTheFirstOneTakesRequests)
+// Guards against a Retry-After to callers that expires, or requests sent to runners, before the first runner's Retry-After does.
+TEST(RunnersBackoff, CallersAreRefusedAtOnceWhileAllRunnersBackOff)
 {
     constexpr unsigned kRunners = 3;
     GatewayFleet fleet({.gateways = 1, .runners = kRunners});
@@ -143,7 +143,7 @@
         EXPECT_EQ(unwantedRequests(fleet.requestsAt(i)), 0U);
     }
     fleet.run(300ms);
-    EXPECT_EQ(fleet.ask(0, fleet.request("/once/x")).status, 200U) << "they take requests again";
+    EXPECT_EQ(fleet.ask(0, fleet.request("/once/x")).status, 200U) << "the runners accept requests again";
 }
 
 namespace
@@ -167,8 +167,8 @@
 
 } // namespace
 
-// Guards against a runner whose time has passed and that stays unused, and against hosts that come back to it with all that they have.
-TEST(RunnersBackoff, ItsRoomIsUsedSoonAfterItsEndAndWithoutACrowd)
+// Guards against a runner left unused after its backoff expires, and against all hosts resuming with a burst.
+TEST(RunnersBackoff, CapacityIsUsedSoonAfterExpiryWithoutABurst)
 {
     constexpr unsigned kHosts = 5;
     constexpr unsigned kRunners = 4;
@@ -185,13 +185,13 @@
     const GatewayFleet::Time end = lastBackoffEnd(requests);
     EXPECT_EQ(unwantedRequests(requests), 0U);
     EXPECT_GE(arrivedBetween(requests, end, end + 250ms), 1U) << "unused";
-    EXPECT_GE(static_cast<double>(arrivedBetween(requests, end, end + 1000ms)), 0.6 * kDemand / kRunners) << "most of its part";
-    EXPECT_LE(static_cast<double>(arrivedBetween(requests, end, end + 200ms)), kHosts + 0.2 * kDemand) << "one of each host, and what comes anew";
+    EXPECT_GE(static_cast<double>(arrivedBetween(requests, end, end + 1000ms)), 0.6 * kDemand / kRunners) << "most of its share";
+    EXPECT_LE(static_cast<double>(arrivedBetween(requests, end, end + 200ms)), kHosts + 0.2 * kDemand) << "one per host, and its share of new requests";
     EXPECT_EQ(load.answered(503), 0U);
 }
 
-// Guards against a backoff that outlives the runner's process.
-TEST(RunnersBackoff, BelongsToOneLifeOfTheRunner)
+// Guards against a backoff that persists after the runner has restarted.
+TEST(RunnersBackoff, AppliesToOneIncarnationOfTheRunner)
 {
     GatewayFleet fleet({.gateways = 1, .runners = 2});
     ASSERT_TRUE(fleet.start());
@@ -205,11 +205,11 @@
     fleet.run(1000ms);
     const auto from = std::chrono::steady_clock::now();
     load.run(2000ms, "/again/x");
-    EXPECT_GE(arrivedBetween(fleet.requestsAt(0), from, from + 2000ms), 20U) << "half of its part";
+    EXPECT_GE(arrivedBetween(fleet.requestsAt(0), from, from + 2000ms), 20U) << "half of its share";
 }
 
-// Guards against text that is no number of seconds and keeps a runner out, or ends the time that another answer has named.
-TEST(RunnersBackoff, IsNotTouchedByWhatIsNoNumberOfSeconds)
+// Guards against a Retry-After that is not a number of seconds excluding the runner, or ending the backoff from another answer.
+TEST(RunnersBackoff, IgnoresMalformedRetryAfter)
 {
     GatewayFleet fleet({.gateways = 1, .runners = 2});
     ASSERT_TRUE(fleet.start());
@@ -224,8 +224,8 @@
     EXPECT_GE(fleet.count("fulmarlink_malformed_backoffs_total"), 4U);
 }
 
-// Guards against a time of nothing that is taken for a backoff, or hides that the runner refuses.
-TEST(RunnersBackoff, OfZeroSecondsIsNone)
+// Guards against treating Retry-After: 0 as a backoff, or not treating the answer as a refusal.
+TEST(RunnersBackoff, OfZeroSecondsIsIgnored)
 {
     GatewayFleet fleet({.gateways = 1, .runners = 2});
     ASSERT_TRUE(fleet.start());
@@ -237,7 +237,7 @@
     EXPECT_EQ(load.answered(503), 0U);
 }
 
-// Guards against ranks that ask one host to wait and are taken for a group that stands still.
+// Guards against closing a group because some of its ranks asked a host to back off.
 TEST(RunnersBackoff, OfSomeRanksDoesNotCloseTheirGroup)
 {
     constexpr unsigned kRanks = 8;
@@ -250,13 +250,13 @@
         fleet.refuse(i, 1, "1");
     }
     load.run(500ms, "/stream/x");
-    const std::size_t learning = load.answered(503);
-    EXPECT_LE(learning, kHosts) << "each host may meet as many of them with one request as a request has sends";
+    const std::size_t refusedInitially = load.answered(503);
+    EXPECT_LE(refusedInitially, kHosts) << "a request of each host may use all its sends on ranks that refuse it";
     load.run(4000ms, "/stream/x");
-    EXPECT_EQ(load.answered(503), learning) << "one rank has room";
+    EXPECT_EQ(load.answered(503), refusedInitially) << "one rank has capacity";
 }
 
-TEST(RunnerBackoffMutation, AHostThatIgnoresBackoffsIsCaught)
+TEST(RunnerBackoffMutation, HostThatIgnoresBackoffsIsDetected)
 {
     const ScopedMutation scoped(Mutation::IgnoreBackoff);
     GatewayFleet fleet({.gateways = 1, .runners = 2});
--- a/testing/runnersignals_test.cpp
+++ b/testing/runnersignals_test.cpp
@@ -1,4 +1,4 @@
-// What runners say of the requests that they want, without sockets: backoffs that overlap, answers that overtake each other, slow start.
+// Flow-control signals of runners, without sockets: overlapping backoffs, answers that arrive out of order, slow start.
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST(RunnerSignals, ARunnerThatBacksOffGetsNothingUntilItsTimeHasPassed)
+TEST(RunnerSignals, NoRequestsAreSentUntilBackoffExpires)
 {
     const RunnerSignals signals = backingOff(3s);
     EXPECT_EQ(signals.exclusion(kRunner, 0, kStart), RunnerExclusion::BackingOff);
@@ -38,11 +38,11 @@
     EXPECT_EQ(signals.exclusion(kRunner, 0, kStart + 3s), RunnerExclusion::None);
     EXPECT_EQ(signals.nextSendTime(kRunner, kStart), kStart + 3s);
     EXPECT_EQ(signals.exclusion({"i-2", 1}, 9, kStart), RunnerExclusion::None);
-    EXPECT_EQ(signals.exclusion({"i-1", 2}, 9, kStart), RunnerExclusion::None) << "another life";
+    EXPECT_EQ(signals.exclusion({"i-1", 2}, 9, kStart), RunnerExclusion::None) << "another incarnation";
 }
 
-// Guards against a late answer that names less time and lets requests go to a runner that still wants none.
-TEST(RunnerSignals, ALaterShorterBackoffDoesNotShortenAnEarlierOne)
+// Guards against a later answer with a shorter backoff that lets requests reach a runner still backing off.
+TEST(RunnerSignals, ShorterBackoffDoesNotShortenAnEarlierOne)
 {
     RunnerSignals signals = backingOff(3s);
     EXPECT_FALSE(signals.recordBackoff(kRunner, 1s, 0s, "attempt-2", kStart + 500ms));
@@ -53,8 +53,8 @@
     EXPECT_EQ(signals.activeBackoff(kRunner)->source, "attempt-3");
 }
 
-// Guards against an answer that was under way when the runner asked, and is taken for its consent.
-TEST(RunnerSignals, AnAnswerToARequestThatWasSentBeforeItsEndDoesNotEndIt)
+// Guards against treating the answer to a request sent before the backoff expired as the end of the backoff.
+TEST(RunnerSignals, AnswerToRequestSentBeforeExpiryDoesNotEndBackoff)
 {
     RunnerSignals signals = backingOff(3s);
     signals.recordAccepted(kRunner, kStart - 1s, kSlots);
@@ -63,7 +63,7 @@
     EXPECT_EQ(signals.exclusion(kRunner, 1, kStart + 3s), RunnerExclusion::SlowStart);
 }
 
-TEST(RunnerSignals, SlowStartDoublesWithEachRequestThatIsTaken)
+TEST(RunnerSignals, SlowStartWindowDoublesWithEachAcceptedRequest)
 {
     RunnerSignals signals = backingOff(3s);
     const TimePoint end = kStart + 3s;
@@ -75,8 +75,8 @@
     EXPECT_EQ(signals.exclusion(kRunner, 100, end), RunnerExclusion::None);
 }
 
-// Guards against slow start that goes on where it had stopped when the runner asks to back off again.
-TEST(RunnerSignals, ABackoffInSlowStartBeginsItAnew)
+// Guards against slow start resuming with its previous window after another backoff.
+TEST(RunnerSignals, BackoffDuringSlowStartRestartsSlowStart)
 {
     RunnerSignals signals = backingOff(1s);
     signals.recordAccepted(kRunner, kStart + 1s, kSlots);
@@ -85,20 +85,20 @@
     EXPECT_EQ(signals.exclusion(kRunner, 1, kStart + 2s), RunnerExclusion::SlowStart);
 }
 
-TEST(RunnerSignals, TheLaterOfBackoffAndLimitCounts)
+TEST(RunnerSignals, NextSendTimeIsTheLaterOfBackoffAndRateLimit)
 {
     RunnerSignals signals = backingOff(3s);
     Random random(1);
     signals.pacer.setHosts({"entry-0"}, "entry-0", kStart, random);
     signals.pacer.setLimit(kRunner, 0.2, kStart, random);
-    const TimePoint free = *signals.nextSendTime(kRunner, kStart);
-    EXPECT_GE(free, kStart + 3s);
-    EXPECT_EQ(signals.reserveSend(kRunner, 0, free + 5s), RunnerExclusion::None);
-    EXPECT_EQ(signals.reserveSend(kRunner, 0, free + 5s), RunnerExclusion::RateLimited);
+    const TimePoint nextSend = *signals.nextSendTime(kRunner, kStart);
+    EXPECT_GE(nextSend, kStart + 3s);
+    EXPECT_EQ(signals.reserveSend(kRunner, 0, nextSend + 5s), RunnerExclusion::None);
+    EXPECT_EQ(signals.reserveSend(kRunner, 0, nextSend + 5s), RunnerExclusion::RateLimited);
 }
 
-// Guards against a runner that leaves and is brought back by its backoff's end, or by being forgotten with it.
-TEST(RunnerSignals, ARunnerThatIsLeavingGetsNothingInThisLife)
+// Guards against a leaving runner becoming usable when its backoff expires, or when the state is dropped with the backoff.
+TEST(RunnerSignals, LeavingRunnerIsExcludedForTheRestOfItsIncarnation)
 {
     RunnerSignals signals = backingOff(1s);
     EXPECT_TRUE(signals.markLeaving(kRunner));
@@ -109,44 +109,44 @@
     EXPECT_EQ(signals.exclusion({"i-1", 2}, 0, kStart + 5s), RunnerExclusion::None);
 }
 
-TEST(RunnerSignals, TheEndOfABackoffIsToldOnceAndWhatIsOverIsForgotten)
+TEST(RunnerSignals, ExpiredBackoffIsReturnedOnceAndFinishedStateIsDropped)
 {
     RunnerSignals signals = backingOff(1s);
     EXPECT_TRUE(signals.takeExpiredBackoffs(kStart).empty());
     EXPECT_EQ(signals.backingOffCount(kStart), 1U);
     EXPECT_EQ(signals.takeExpiredBackoffs(kStart + 1s).size(), 1U);
     EXPECT_TRUE(signals.takeExpiredBackoffs(kStart + 2s).empty());
-    EXPECT_EQ(signals.exclusion(kRunner, 1, kStart + 2s), RunnerExclusion::SlowStart) << "its slow start goes on";
+    EXPECT_EQ(signals.exclusion(kRunner, 1, kStart + 2s), RunnerExclusion::SlowStart) << "slow start continues";
     for (unsigned taken = 0; taken < 5; ++taken) {
         signals.recordAccepted(kRunner, kStart + 2s, kSlots);
     }
     signals.takeExpiredBackoffs(kStart + 3s);
-    EXPECT_TRUE(signals.lives().empty());
+    EXPECT_TRUE(signals.incarnations().empty());
 }
 
-TEST(RunnerSignals, NoMoreLivesAreKeptThanAFleetMayHave)
+TEST(RunnerSignals, NumberOfTrackedIncarnationsIsBounded)
 {
     RunnerSignals signals;
-    for (std::size_t i = 0; i < RunnerSignals::kMaxLives + 10; ++i) {
+    for (std::size_t i = 0; i < RunnerSignals::kMaxIncarnations + 10; ++i) {
         signals.recordBackoff({"i-" + std::to_string(i), 1}, 1s, 0s, "a", kStart);
     }
-    EXPECT_EQ(signals.lives().size(), RunnerSignals::kMaxLives);
+    EXPECT_EQ(signals.incarnations().size(), RunnerSignals::kMaxIncarnations);
 }
 
 namespace
 {
 
-/** One runner with kSlots slots and as many places to wait. */
-class Runner
+/** One runner with kSlots slots and a queue of the same length. */
+class SimulatedRunner
 {
 public:
-    explicit Runner(Duration service)
+    explicit SimulatedRunner(Duration service)
         : m_service(service)
     {
     }
 
-    /** When the request will have ended; nothing: it is turned away. */
-    std::optional<TimePoint> take(TimePoint now)
+    /** Returns the time when the request will have completed; empty if it is refused. */
+    std::optional<TimePoint> submit(TimePoint now)
     {
         std::erase_if(m_ends, [now](TimePoint end) {
             return end <= now;
@@ -154,7 +154,7 @@
         if (m_ends.size() >= 2 * kSlots) {
             return std::nullopt;
         }
-        // It begins when the slot of the one that is kSlots places before it is free.
+        // The request starts when the request kSlots places ahead of it frees its slot.
         std::ranges::sort(m_ends);
         const TimePoint begins = m_ends.size() < kSlots ? now : m_ends[m_ends.size() - kSlots];
         m_ends.push_back(begins + m_service);
@@ -171,64 +171,64 @@
     std::vector<TimePoint> m_ends;
 };
 
-/** A host as far as it sends to that runner. */
-struct Sender {
+/** A host, reduced to what it sends to that runner. */
+struct SimulatedHost {
     RunnerSignals signals;
-    std::vector<TimePoint> open; ///< ends of its requests there
-    std::map<TimePoint, unsigned> answers; ///< heads that are on their way, with the load that they tell
-    unsigned toldLoad = 0;
-    TimePoint toldAt{};
+    std::vector<TimePoint> open; ///< completion times of its requests in flight
+    std::map<TimePoint, unsigned> answers; ///< answer heads in transit by arrival time, with the load that they report
+    unsigned reportedLoad = 0;
+    TimePoint reportedAt{};
 
-    void read(TimePoint now)
+    void processAnswers(TimePoint now)
     {
         std::erase_if(open, [now](TimePoint end) {
             return end <= now;
         });
         while (!answers.empty() && answers.begin()->first <= now) {
             signals.recordAccepted(kRunner, now, kSlots);
-            toldLoad = answers.begin()->second;
-            toldAt = answers.begin()->first;
+            reportedLoad = answers.begin()->second;
+            reportedAt = answers.begin()->first;
             answers.erase(answers.begin());
         }
     }
 };
 
-constexpr Duration kHead = 150ms; ///< from a request's begin to the head of its answer, which tells the load
-constexpr Duration kLoadTrust = 1200ms; ///< a host sends nothing for so long after it was told of full slots
-constexpr double kPoolRunners = 16; ///< the demand is what all of them can do, and each request seeks the least loaded one
+constexpr Duration kAnswerHeadDelay = 150ms; ///< from the start of a request to the head of its answer, which reports the load
+constexpr Duration kFullLoadHold = 1200ms; ///< how long a host sends nothing after a report of full slots
+constexpr double kPoolRunners = 16; ///< demand equals the capacity of all of them, and each request prefers the least loaded one
 
-/** Requests that the runner turns away in the 2 s after @p hosts backoffs that ended together. */
+/** Number of requests that the runner refuses in the 2 s after the backoffs of @p hosts hosts, which were set to expire together and then spread. */
 unsigned refusedAfterBackoff(unsigned hosts, Duration service)
 {
     constexpr Duration kStep = 1ms;
     Random random(hosts);
-    Runner runner(service);
-    std::vector<Sender> senders(hosts);
+    SimulatedRunner runner(service);
+    std::vector<SimulatedHost> simulatedHosts(hosts);
     const double hostsPerSlot = static_cast<double>(hosts) / kSlots;
     const auto spread = static_cast<Duration::rep>(std::max(0.0, hostsPerSlot - 1) * static_cast<double>(service.count()));
-    for (Sender &sender : senders) {
-        sender.signals.recordBackoff(kRunner, 1s, Duration(std::uniform_int_distribution<Duration::rep>(0, spread)(random)), "a", kStart);
+    for (SimulatedHost &host : simulatedHosts) {
+        host.signals.recordBackoff(kRunner, 1s, Duration(std::uniform_int_distribution<Duration::rep>(0, spread)(random)), "a", kStart);
     }
     unsigned refused = 0;
     double due = 0;
     const double perStep = kPoolRunners * kSlots * static_cast<double>(kStep.count()) / static_cast<double>(service.count());
     for (TimePoint now = kStart + 1s; now < kStart + 3s; now += kStep) {
         for (due += perStep; due >= 1; due -= 1) {
-            Sender &sender = senders[random() % hosts];
-            sender.read(now);
-            const bool seemsFull = sender.toldLoad >= kSlots && now - sender.toldAt < kLoadTrust;
-            const auto open = static_cast<unsigned>(sender.open.size());
-            if (seemsFull || open >= kSlots || sender.signals.reserveSend(kRunner, open, now) != RunnerExclusion::None) {
+            SimulatedHost &host = simulatedHosts[random() % hosts];
+            host.processAnswers(now);
+            const bool seemsFull = host.reportedLoad >= kSlots && now - host.reportedAt < kFullLoadHold;
+            const auto open = static_cast<unsigned>(host.open.size());
+            if (seemsFull || open >= kSlots || host.signals.reserveSend(kRunner, open, now) != RunnerExclusion::None) {
                 continue;
             }
-            const std::optional<TimePoint> end = runner.take(now);
+            const std::optional<TimePoint> end = runner.submit(now);
             if (!end) {
                 ++refused;
-                sender.signals.recordBackoff(kRunner, 1s, Duration(0), "b", now);
+                host.signals.recordBackoff(kRunner, 1s, Duration(0), "b", now);
                 continue;
             }
-            sender.open.push_back(*end);
-            sender.answers[*end - service + std::min(service, kHead)] = runner.load();
+            host.open.push_back(*end);
+            host.answers[*end - service + std::min(service, kAnswerHeadDelay)] = runner.load();
         }
     }
     return refused;
@@ -236,17 +236,17 @@
 
 } // namespace
 
-// Pattern: every host was turned away at the same moment and has requests for the runner when its time has passed.
-TEST(RunnerSignals, HostsThatComeBackTogetherAreRarelyTurnedAwayAgain)
+// Guards against a burst when all hosts were refused at the same moment and have requests waiting when the backoff expires.
+TEST(RunnerSignals, HostsResumingAfterSimultaneousBackoffAreRarelyRefused)
 {
     for (const unsigned hosts : {1U, 5U, 16U, 100U, 370U}) {
         for (const Duration service : {Duration(30ms), Duration(800ms)}) {
-            EXPECT_LE(refusedAfterBackoff(hosts, service), hosts - 1) << hosts << " hosts, " << service.count() << " us: less than one for each of them";
+            EXPECT_LE(refusedAfterBackoff(hosts, service), hosts - 1) << hosts << " hosts, " << service.count() << " us: fewer than one refusal per host";
         }
     }
 }
 
-TEST(RunnerSignalsMutation, BrokenVariantsAreCaught)
+TEST(RunnerSignalsMutation, BrokenVariantsAreDetected)
 {
     {
         const ScopedMutation scoped(Mutation::ShortenBackoff);
