--- a/testing/demandshiftdetector_test.cpp
+++ b/testing/demandshiftdetector_test.cpp
@@ -1,5 +1,5 @@
-// When a group's counts are worth reading. The load: a group of calm passes of 60 ms whose
-// demand turns every two to four seconds, after which a pass takes 150 ms and more.
+// Tests when a group's expert counts are due to be read. The tests model a group with passes of
+// 60 ms whose demand shifts every 2 to 4 s; after a shift a pass takes 150 ms or more.
 
 #include "fulmarlink/demandshiftdetector.h"
 
@@ -22,7 +22,7 @@
     return TimePoint(std::chrono::seconds(100)) + time;
 }
 
-/** A group whose passes end every kCalm until the last calm end, with looks each 20 ms. */
+/** Polls the detector every 20 ms while passes end every kBaseline; expects no read to be due. Returns the time of the last event. */
 milliseconds simulateSteadyPasses(DemandShiftDetector &detector, milliseconds length)
 {
     milliseconds lastEvent(0);
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST(DemandShiftDetector, ASlowPassIsNoticedBeforeItEnds)
+TEST(DemandShiftDetector, SlowPassIsDetectedBeforeItEnds)
 {
     DemandShiftDetector detector;
     detector.restart(at(milliseconds(0)));
@@ -47,7 +47,7 @@
     EXPECT_LE(now - lastEvent, milliseconds(110));
 }
 
-TEST(DemandShiftDetector, AGroupOfCalmPassesIsLeftAloneUntilTheLongestRest)
+TEST(DemandShiftDetector, SteadyPassesCauseNoReadBeforeTheMaximumInterval)
 {
     DemandShiftDetector detector;
     detector.restart(at(milliseconds(0)));
@@ -55,7 +55,7 @@
     EXPECT_TRUE(detector.countsDue({kBaseline, at(lastEvent + kBaseline), kGapTarget}, at(milliseconds(5020))));
 }
 
-TEST(DemandShiftDetector, APauseFarBelowTheTargetNeedsNoSwitch)
+TEST(DemandShiftDetector, IntervalsFarBelowTheGapTargetCauseNoRead)
 {
     DemandShiftDetector detector;
     detector.restart(at(milliseconds(0)));
@@ -63,7 +63,7 @@
     EXPECT_FALSE(detector.countsDue({milliseconds(40), at(milliseconds(990)), kGapTarget}, at(milliseconds(1100))));
 }
 
-TEST(DemandShiftDetector, SlowerMeansCountAsTurnedAndARestartForgetsThem)
+TEST(DemandShiftDetector, LongerMeanIntervalsAreAShiftAndRestartDiscardsTheBaseline)
 {
     DemandShiftDetector detector;
     detector.restart(at(milliseconds(0)));
@@ -74,7 +74,7 @@
     EXPECT_FALSE(detector.countsDue({milliseconds(80), at(milliseconds(1600)), kGapTarget}, at(milliseconds(1610))));
 }
 
-TEST(DemandShiftDetector, AHostWithoutStreamsLooksSeldom)
+TEST(DemandShiftDetector, HostWithoutStreamsReadsCountsRarely)
 {
     DemandShiftDetector detector;
     detector.restart(at(milliseconds(0)));
@@ -82,9 +82,9 @@
     EXPECT_TRUE(detector.countsDue({std::nullopt, TimePoint{}, kGapTarget}, at(milliseconds(12'100))));
 }
 
-// The load: a group so full that every pass is late, with the right map and with the wrong
-// one; a turn then lengthens passes by less than kSlowdown.
-TEST(DemandShiftDetector, WhileStreamsAreLateTheCountsAreLookedAtSooner)
+// In a saturated group every pass is late, whether or not the map fits the demand, and a demand
+// shift lengthens passes by less than kShiftFactor.
+TEST(DemandShiftDetector, LateStreamsShortenTheReadInterval)
 {
     DemandShiftDetector detector;
     detector.restart(at(milliseconds(0)));
@@ -92,8 +92,8 @@
     EXPECT_TRUE(detector.countsDue({milliseconds(180), at(milliseconds(1090)), kGapTarget}, at(milliseconds(1100))));
 }
 
-// The load: a rank works at a twelfth of its speed; the passes are far longer than any turn makes them.
-TEST(DemandShiftDetector, ATurnIsNotTakenForASlowRankNorTheOtherWayRound)
+// With a rank at a twelfth of its speed, passes are far longer than any demand shift makes them.
+TEST(DemandShiftDetector, SlowRankIsDistinguishedFromADemandShift)
 {
     using std::chrono::milliseconds;
     EXPECT_FALSE(DemandShiftDetector::suggestsSlowRank(milliseconds(115), milliseconds(55)));
--- a/testing/expertmapcontroller_test.cpp
+++ b/testing/expertmapcontroller_test.cpp
@@ -1,5 +1,5 @@
-// The owner of a group's map over a group in memory: a turn of demand is answered, a late
-// copy holds the group no longer than itself, a group that is still starting keeps its owner.
+// Tests the controller of a group's expert map against an in-memory group in real time: demand
+// shifts, late copies, slow ranks, a group that is still starting, and loss of the store.
 
 #include "fulmarlink/expertmapcontroller.h"
 
@@ -44,7 +44,7 @@
         service.engine->placements = options.placements;
         service.engine->newPerSwitch = 2;
         service.engine->expertMb = 1;
-        service.engine->linkMbps = 800; // a copy of 10 ms
+        service.engine->linkMbps = 800; // one expert copy takes 10 ms
         service.engine->expertShare = 0.8;
         service.engine->reportLag = 200ms;
         configuration.services.push_back(service);
@@ -60,7 +60,7 @@
         asio::co_spawn(context, controller->run(), asio::detached);
     }
 
-    /** What the streams of a pass tell the gate. */
+    /** Reports the events of one pass to the gate, as the streams of this host would. */
     void recordEvents(Duration length)
     {
         constexpr unsigned kStreams = 8;
@@ -106,7 +106,7 @@
 
 } // namespace
 
-TEST_F(ExpertMapControllerTest, ATurnOfDemandIsAnsweredAndNoPassHasTwoMaps)
+TEST_F(ExpertMapControllerTest, DemandShiftCausesASwitchAndNoPassUsesTwoMaps)
 {
     start({});
     context.run_for(1500ms);
@@ -121,8 +121,8 @@
     EXPECT_FALSE(group->twoMaps);
 }
 
-// A group that has gone takes its keeper along; nothing of it may run on.
-TEST_F(ExpertMapControllerTest, AKeeperThatHasEndedIsUsedByNobody)
+// GroupWatch destroys a controller that has ended, so nothing that it started may still use it.
+TEST_F(ExpertMapControllerTest, EndedControllerCanBeDestroyed)
 {
     start({});
     ASSERT_TRUE(runUntil(
@@ -142,8 +142,8 @@
     context.run_for(300ms);
 }
 
-// Counts cost the group time: a turn may take two looks at the sampled ranks and a third where a pass was short, and the switch none.
-TEST_F(ExpertMapControllerTest, ATurnIsAnsweredWithFewCounts)
+// Reads of counts cost the group time: a shift may take two reads of the sampled ranks, a third if a pass was short, and none for the switch.
+TEST_F(ExpertMapControllerTest, DemandShiftCausesFewCountReads)
 {
     start({});
     context.run_for(1500ms);
@@ -158,7 +158,7 @@
     EXPECT_FALSE(group->twoMaps);
 }
 
-TEST_F(ExpertMapControllerTest, ACopyThatIsLateHoldsTheGroupNoLongerThanItself)
+TEST_F(ExpertMapControllerTest, LateCopyHoldsTheGroupOnlyUntilItCompletes)
 {
     FakeGroupOptions options;
     options.lateCopy = 100ms;
@@ -171,10 +171,10 @@
         },
         10s));
     EXPECT_FALSE(group->twoMaps);
-    EXPECT_EQ(group->reportsWhileHeld, 0U) << "reports are 0.28 s old: the group would stand for so long";
+    EXPECT_EQ(group->reportsWhileHeld, 0U) << "reports are 0.28 s old, so the group would be held for that long";
 }
 
-TEST_F(ExpertMapControllerTest, AGroupThatIsStillStartingKeepsItsOwner)
+TEST_F(ExpertMapControllerTest, LeaseIsKeptWhileTheGroupIsStarting)
 {
     FakeGroupOptions options;
     options.listed = 2;
@@ -189,8 +189,8 @@
     EXPECT_LE(group->lease.renewals, 2U);
 }
 
-// The load: the owner's way to the store goes silent, demand turns right after it.
-TEST_F(ExpertMapControllerTest, AnOwnerThatCantReachTheStoreGoesOnUntilItsTermEnds)
+// The store stops answering the lease holder, and demand shifts right afterwards.
+TEST_F(ExpertMapControllerTest, LeaderWithoutTheStoreWorksUntilItsLeaseExpires)
 {
     start({});
     ASSERT_TRUE(runUntil(
@@ -199,7 +199,7 @@
         },
         5s));
     group->storeSilent = true;
-    context.run_for(900ms); // a renewal is under way by now
+    context.run_for(900ms); // a renewal is in flight by now
     group->turn(kOneHot);
     EXPECT_TRUE(runUntil(
         [this] {
@@ -208,8 +208,8 @@
         800ms));
 }
 
-// The load: a zone's callers move to another zone while the group works on.
-TEST_F(ExpertMapControllerTest, AnOwnerWithoutStreamsLeavesTheLeaseToAHostThatHasSome)
+// The callers of a zone move to another zone while the group keeps processing requests.
+TEST_F(ExpertMapControllerTest, LeaderWithoutStreamsReleasesTheLeaseOfAnActiveGroup)
 {
     start({});
     ASSERT_TRUE(runUntil(
@@ -227,8 +227,8 @@
         6s));
 }
 
-// The load: one rank works at an eighth of its speed, and the whole group waits for it.
-TEST_F(ExpertMapControllerTest, ASlowRankIsEmptiedMadeKnownAndTakenBack)
+// One rank works at an eighth of its speed, and the whole group waits for it.
+TEST_F(ExpertMapControllerTest, SlowRankIsRelievedPublishedAndRestored)
 {
     start({});
     context.run_for(1500ms);
@@ -254,8 +254,8 @@
         5s));
 }
 
-// The load: a rank so slow that a pass takes over half a second, which looks like a standstill.
-TEST_F(ExpertMapControllerTest, AGroupOfVeryLongPassesIsStillLookedAfter)
+// A rank is so slow that a pass takes over half a second, which looks like a stalled group.
+TEST_F(ExpertMapControllerTest, GroupWithVeryLongPassesIsStillRebalanced)
 {
     start({});
     context.run_for(1500ms);
--- a/testing/leaseelector_test.cpp
+++ b/testing/leaseelector_test.cpp
@@ -1,4 +1,4 @@
-// The lease of a pool's maps, over a store that a test plays.
+// Tests the lease election of a rank group against an in-memory store.
 
 #include "fulmarlink/leaseelector.h"
 
@@ -20,7 +20,7 @@
     return TimePoint(std::chrono::seconds(500) + milliseconds(ms));
 }
 
-/** The record in the store, with its condition. */
+/** A store of one lease record with conditional writes: a write must carry the stored revision. */
 struct Store {
     LeaseRecord record;
 
@@ -41,12 +41,12 @@
     }
 };
 
-LeaseElector elector(const std::string &name)
+LeaseElector makeElector(const std::string &name)
 {
     return LeaseElector(LeaseOptions{.self = name});
 }
 
-/** One step of a keeper against the store. */
+/** Carries out one step of @p elector against the store. */
 void runStep(LeaseElector &elector, Store &store, int ms)
 {
     const Step step = elector.step(at(ms));
@@ -59,10 +59,10 @@
 
 } // namespace
 
-TEST(LeaseElector, OneOfManyTakesItAndKeepsIt)
+TEST(LeaseElector, ExactlyOneOfSeveralHostsHoldsTheLease)
 {
     Store store;
-    std::vector<LeaseElector> electors = {elector("a"), elector("b"), elector("c")};
+    std::vector<LeaseElector> electors = {makeElector("a"), makeElector("b"), makeElector("c")};
     for (int ms = 0; ms < 20'000; ms += 100) {
         unsigned holders = 0;
         for (LeaseElector &one : electors) {
@@ -77,11 +77,11 @@
     EXPECT_EQ(store.record.holder, "a");
 }
 
-TEST(LeaseElector, ASilentHolderIsReplacedAfterItsOwnClockHasEndedIt)
+TEST(LeaseElector, SilentHolderIsReplacedOnlyAfterItsLeaseExpired)
 {
     Store store;
-    LeaseElector a = elector("a");
-    LeaseElector b = elector("b");
+    LeaseElector a = makeElector("a");
+    LeaseElector b = makeElector("b");
     runStep(a, store, 0);
     runStep(a, store, 1);
     runStep(b, store, 2);
@@ -93,31 +93,31 @@
     ASSERT_GT(takenAtMs, 0);
     EXPECT_FALSE(a.holds(at(takenAtMs)));
     EXPECT_LT(takenAtMs, 5000);
-    runStep(a, store, takenAtMs + 100); // wakes and renews: refused
+    runStep(a, store, takenAtMs + 100); // the old holder resumes; its renewal is refused
     EXPECT_FALSE(a.holds(at(takenAtMs + 100)));
 }
 
-TEST(LeaseElector, ALapsedLeaseBeginsANewTerm)
+TEST(LeaseElector, RenewalAfterExpiryStartsANewTerm)
 {
     Store store;
-    LeaseElector a = elector("a");
+    LeaseElector a = makeElector("a");
     runStep(a, store, 0);
     runStep(a, store, 1);
     const std::uint64_t term = a.termId();
     runStep(a, store, 1000);
     EXPECT_EQ(a.termId(), term);
-    runStep(a, store, 9000); // after an outage nobody else has taken it
+    runStep(a, store, 9000); // after an outage in which no other host acquired it
     EXPECT_TRUE(a.holds(at(9001)));
     EXPECT_GT(a.termId(), term);
 }
 
-TEST(LeaseElector, AnAnswerThatWasLostIsReadBackBeforeItIsTrusted)
+TEST(LeaseElector, WriteWithALostAnswerIsReadBackBeforeTheLeaseIsHeld)
 {
     Store store;
-    LeaseElector a = elector("a");
+    LeaseElector a = makeElector("a");
     runStep(a, store, 0);
     ASSERT_EQ(a.step(at(1)), Step::Write);
-    store.write(a.nextRecord()); // it took effect
+    store.write(a.nextRecord()); // the write took effect
     a.handleWrite({ResultCode::StoreAnswerLost, {}}, at(1), at(400));
     EXPECT_FALSE(a.holds(at(400)));
     EXPECT_EQ(a.step(at(401)), Step::Read);
@@ -126,10 +126,10 @@
     EXPECT_TRUE(a.holds(at(403)));
 }
 
-TEST(LeaseElector, AHolderThatYieldsDoesNotTakeItBackAtOnce)
+TEST(LeaseElector, HolderThatStandsDownDoesNotReacquireAtOnce)
 {
     Store store;
-    LeaseElector a = elector("a");
+    LeaseElector a = makeElector("a");
     runStep(a, store, 0);
     runStep(a, store, 1);
     const LeaseRecord released = a.releasedRecord();
@@ -139,13 +139,13 @@
         runStep(a, store, ms);
         EXPECT_FALSE(a.holds(at(ms)));
     }
-    LeaseElector b = elector("b");
+    LeaseElector b = makeElector("b");
     runStep(b, store, 4000);
     runStep(b, store, 4001);
     EXPECT_TRUE(b.holds(at(4002)));
 }
 
-TEST(LeaseElector, AHostThatIsLessFitForTheWorkLetsOthersComeFirst)
+TEST(LeaseElector, HostWithTheShorterAcquireDelayTakesTheLeaseFirst)
 {
     Store store;
     LeaseElector slow(LeaseOptions{.self = "slow", .acquireDelay = milliseconds(1000)});
@@ -156,29 +156,29 @@
     }
     EXPECT_TRUE(fast.holds(at(2000)));
     EXPECT_FALSE(slow.holds(at(2000)));
-    store.write(fast.releasedRecord()); // it leaves, and nobody else comes
+    store.write(fast.releasedRecord()); // released, and no other host competes
     for (int ms = 2000; ms < 4000; ms += 50) {
         runStep(slow, store, ms);
     }
     EXPECT_TRUE(slow.holds(at(4000)));
 }
 
-TEST(LeaseElector, WhatTheHolderKnowsOfSlowRanksIsWrittenAtOnceAndOutlivesIt)
+TEST(LeaseElector, SlowRanksAreWrittenAtOnceAndKeptByTheNextHolder)
 {
     Store store;
-    LeaseElector a = elector("a");
+    LeaseElector a = makeElector("a");
     runStep(a, store, 0);
     runStep(a, store, 10);
     ASSERT_TRUE(a.holds(at(20)));
     const LeaseRecord renewalInFlight = a.nextRecord();
     a.setSlowTargets({"rank-2"});
-    a.handleWrite(store.write(renewalInFlight), at(20), at(30)); // a renewal that was sent before does not hide it
+    a.handleWrite(store.write(renewalInFlight), at(20), at(30)); // a renewal sent before the change does not hide it
     EXPECT_EQ(a.step(at(40)), Step::Write);
     runStep(a, store, 40);
     EXPECT_EQ(store.record.slowTargets, std::vector<std::string>{"rank-2"});
     EXPECT_EQ(a.step(at(50)), Step::Wait);
     store.write(a.releasedRecord());
-    LeaseElector b = elector("b");
+    LeaseElector b = makeElector("b");
     runStep(b, store, 100);
     runStep(b, store, 110);
     EXPECT_TRUE(b.holds(at(120)));
