--- a/fulmarlink/expertmapcontroller.h
+++ b/fulmarlink/expertmapcontroller.h
@@ -101,7 +101,7 @@
     std::uint64_t m_latestPass = 0; ///< newest pass that is known to have begun
     TimePoint m_latestPassAt{}; ///< when m_latestPass was learned
     std::uint64_t m_switchPass = 0; ///< pass with which the last switch takes effect
-    TimePoint m_switchDoneAt{}; ///< when all ranks had released that pass
+    TimePoint m_switchDoneAt{}; ///< when the last switch ended; its pass had been released by then
     std::uint64_t m_mapEpoch = 0; ///< of m_map
     std::uint64_t m_mapVersion = 0; ///< of m_map
     bool m_mapKnown = false;
