--- a/fulmarlink/admission.cpp
+++ b/fulmarlink/admission.cpp
@@ -102,7 +102,7 @@
     const double serviceSeconds = std::chrono::duration<double>(state.pool(pool).serviceTime.mean()).count();
     const double perSecond = (blocked.limitedPerSecond + blocked.slots / serviceSeconds) / state.signals.pacer.hostCount();
     const Duration soonest = blocked.nextRoom ? *blocked.nextRoom - now : Duration(0);
-    return state.pool(pool).returns.next(perSecond, soonest, now, state.random);
+    return state.pool(pool).returns.nextDelay(perSecond, soonest, now, state.random);
 }
 
 } // namespace fulmarlink
--- a/fulmarlink/customerlimiter.cpp
+++ b/fulmarlink/customerlimiter.cpp
@@ -72,7 +72,7 @@
     return best;
 }
 
-void CustomerLimiter::take(TimePoint now, const LimitAction &wanted)
+void CustomerLimiter::requestTokens(TimePoint now, const LimitAction &wanted)
 {
     const bool full = m_customers.size() >= m_options.maxCustomers && !m_customers.contains(wanted.customer);
     if (full || m_entries.empty()) {
@@ -91,7 +91,7 @@
         decide(wanted.request, false, customer.refusedUntil - now);
         return;
     }
-    customer.waiting.push_back({wanted.request, tokens, now + m_options.answerWait});
+    customer.waiting.push_back({wanted.request, tokens, now + m_options.homeTimeout});
     serveStock(now, customer);
     if (customer.waiting.empty()) {
         return;
@@ -169,7 +169,7 @@
     Customer &customer = it->second;
     customer.asked = 0;
     customer.stock = (now < customer.stockUntil ? customer.stock : 0) + grant.tokens;
-    customer.stockUntil = now + m_options.stockValid;
+    customer.stockUntil = now + m_options.prefetchLifetime;
     serveStock(now, customer);
     if (grant.tokens == 0) {
         customer.refusedUntil = now + std::chrono::milliseconds(grant.retry_after_ms);
--- a/fulmarlink/customerlimiter.h
+++ b/fulmarlink/customerlimiter.h
@@ -15,8 +15,8 @@
 
 struct LimiterOptions {
     NodeId self = 0;
-    Duration answerWait = std::chrono::milliseconds(150); ///< for the home, before the fallback decides
-    Duration stockValid = std::chrono::seconds(1); ///< granted tokens are used within this time
+    Duration homeTimeout = std::chrono::milliseconds(150); ///< for the home, before the fallback decides
+    Duration prefetchLifetime = std::chrono::seconds(1); ///< granted tokens are used within this time
     double prefetchSeconds = 0.2; ///< of its own demand, that an entry asks for ahead
     double fallbackShare = 0.5; ///< of rate / entries, while the home can't be reached
     std::size_t maxCustomers = 20'000; ///< remembered at once
@@ -51,8 +51,8 @@
     CustomerLimiter(LimiterOptions options, Counters &counters);
 
     void setEntries(TimePoint now, std::vector<NodeId> entries);
-    /** Asks for the tokens of a request; a decision follows, at answerWait at the latest. */
-    void take(TimePoint now, const LimitAction &wanted);
+    /** Asks for the tokens of a request; a decision follows, at homeTimeout at the latest. */
+    void requestTokens(TimePoint now, const LimitAction &wanted);
     void receive(TimePoint now, NodeId from, const Message &message);
     void tick(TimePoint now);
 
--- a/fulmarlink/entrycore.cpp
+++ b/fulmarlink/entrycore.cpp
@@ -54,7 +54,7 @@
     request.keyed = !route.idempotent && !request.info.idempotencyKey.empty();
     m_requests.emplace(id, std::move(owned));
     setWake(request, request.deadline);
-    m_services.budget.countFirst();
+    m_services.budget.countFirstAttempt();
     if (route.limit) {
         request.limited = true;
         m_actions.push_back(LimitAction{id, hashOf(request.info.customer), std::max(1U, request.info.promptTokens), *route.limit});
--- a/fulmarlink/entryprocess.cpp
+++ b/fulmarlink/entryprocess.cpp
@@ -225,7 +225,7 @@
             // Posted: the answer comes back into the shard, whose lock is held here.
             asio::post(m_context, [this, wanted = *limiting] {
                 limit([&](TimePoint now) {
-                    m_limiter.take(now, wanted);
+                    m_limiter.requestTokens(now, wanted);
                 });
             });
             continue;
--- a/fulmarlink/gateway.cpp
+++ b/fulmarlink/gateway.cpp
@@ -306,7 +306,7 @@
         }
         const EntriesRead read = co_await m_edges.platform->readEntries();
         if (read.error) {
-            m_liveHosts.outage();
+            m_liveHosts.recordFailedRead();
         } else {
             noteEntries(read, renews && !error, round >= kStartRounds);
         }
@@ -319,7 +319,7 @@
 /** @p counts: so much time has passed since the last reading that counted that living hosts have renewed their records. */
 void Gateway::noteEntries(const EntriesRead &read, bool counts, bool complete)
 {
-    counts ? m_liveHosts.seen(read.entries) : m_liveHosts.joined(read.entries);
+    counts ? m_liveHosts.recordRead(read.entries) : m_liveHosts.recordIntermediateRead(read.entries);
     const std::vector<std::string> hosts = m_liveHosts.hosts();
     m_state.entries = std::max<unsigned>(1, static_cast<unsigned>(hosts.size()));
     for (auto &[name, pool] : m_state.pools) {
--- a/fulmarlink/gatewayattempt.cpp
+++ b/fulmarlink/gatewayattempt.cpp
@@ -104,7 +104,7 @@
     m_targets += (m_targets.empty() ? "" : ",") + target.id;
     if (end == AttemptEnd::Answered) {
         m_state.targets.succeeded(target.id);
-        m_state.pool(m_pool).serviceTime.seen(m_state.clock.now() - began);
+        m_state.pool(m_pool).serviceTime.record(m_state.clock.now() - began);
         return;
     }
     if (m_gone) {
--- a/fulmarlink/gatewayrelay.cpp
+++ b/fulmarlink/gatewayrelay.cpp
@@ -303,7 +303,7 @@
     const TargetInfo *other = m_state.targets.pick(m_pool, m_tried, now, m_state.random);
     const bool better = other != nullptr && !m_state.targets.isSlow(other->id);
     AttemptState state = attemptState(AttemptEnd::Broken);
-    return better && mayRetry() && nextStep(state) == NextStep::Again && m_state.pool(m_pool).budget.hasRoom(now);
+    return better && mayRetry() && nextStep(state) == NextStep::Again && m_state.pool(m_pool).budget.canTakeRepeat(now);
 }
 
 void GatewayExchange::noteEvents(TimePoint now)
--- a/fulmarlink/gatewaystate.h
+++ b/fulmarlink/gatewaystate.h
@@ -13,7 +13,7 @@
 #include "fulmarlink/gatewaysettings.h"
 #include "fulmarlink/latencyhistogram.h"
 #include "fulmarlink/poolgate.h"
-#include "fulmarlink/returnqueue.h"
+#include "fulmarlink/retryafterpacer.h"
 #include "fulmarlink/runnerattempts.h"
 #include "fulmarlink/runnersignals.h"
 #include "fulmarlink/servicetime.h"
@@ -41,7 +41,7 @@
 
     WindowBudget budget;
     std::map<std::string, PoolGate> gates; ///< by group name
-    ReturnQueue returns; ///< of callers that were sent away since its runners want no request now
+    RetryAfterPacer returns; ///< of callers that were sent away since its runners want no request now
     ServiceTime serviceTime;
 };
 
--- a/fulmarlink/livehosts.cpp
+++ b/fulmarlink/livehosts.cpp
@@ -5,18 +5,18 @@
 namespace fulmarlink
 {
 
-void LiveHosts::seen(const std::vector<EntryRecord> &records)
+void LiveHosts::recordRead(const std::vector<EntryRecord> &records)
 {
     std::map<std::string, Host> hosts;
     for (const EntryRecord &record : records) {
         const auto before = m_hosts.find(record.host);
-        const bool same = record.renews && before != m_hosts.end() && before->second.revision == record.revision;
+        const bool same = record.isRenewed && before != m_hosts.end() && before->second.revision == record.revision;
         hosts[record.host] = {record.revision, same ? before->second.unchanged + 1 : 0};
     }
     m_hosts = std::move(hosts);
 }
 
-void LiveHosts::joined(const std::vector<EntryRecord> &records)
+void LiveHosts::recordIntermediateRead(const std::vector<EntryRecord> &records)
 {
     for (const EntryRecord &record : records) {
         Host &host = m_hosts[record.host];
@@ -26,10 +26,10 @@
     }
 }
 
-void LiveHosts::outage()
+void LiveHosts::recordFailedRead()
 {
     for (auto &[name, host] : m_hosts) {
-        host.unchanged = host.unchanged < kMissed ? 0 : host.unchanged;
+        host.unchanged = host.unchanged < kUnchangedReadsUntilGone ? 0 : host.unchanged;
     }
 }
 
@@ -37,7 +37,7 @@
 {
     std::vector<std::string> result;
     for (const auto &[name, host] : m_hosts) {
-        if (host.unchanged < kMissed) {
+        if (host.unchanged < kUnchangedReadsUntilGone) {
             result.push_back(name);
         }
     }
--- a/fulmarlink/livehosts.h
+++ b/fulmarlink/livehosts.h
@@ -11,13 +11,13 @@
 struct EntryRecord {
     std::string host;
     std::uint64_t revision = 0; ///< higher with each renewal
-    bool renews = true; ///< false: it is of a version that writes once, at its start
+    bool isRenewed = true; ///< false: it is of a version that writes once, at its start
 };
 
 /**
  * Which entry hosts live, from successive readings of what they write of themselves.
  *
- * A host renews its record; one whose record stays the same for kMissed readings in a row is
+ * A host isRenewed its record; one whose record stays the same for kUnchangedReadsUntilGone readings in a row is
  * gone. A host of an earlier version, which writes once, counts as living for good. Readings are counted instead of time, so that nobody is taken for gone
  * while the store is away; one reading after an outage tells nothing.
  *
@@ -26,14 +26,14 @@
 class LiveHosts
 {
 public:
-    static constexpr unsigned kMissed = 4;
+    static constexpr unsigned kUnchangedReadsUntilGone = 4;
 
     /** One reading of all records, so long after the last one that hosts that live have renewed theirs. */
-    void seen(const std::vector<EntryRecord> &records);
+    void recordRead(const std::vector<EntryRecord> &records);
     /** A reading in between: hosts that are new count from now on. */
-    void joined(const std::vector<EntryRecord> &records);
+    void recordIntermediateRead(const std::vector<EntryRecord> &records);
     /** A reading failed: hosts may not have been able to renew theirs. */
-    void outage();
+    void recordFailedRead();
     std::vector<std::string> hosts() const;
 
 private:
--- a/fulmarlink/loadforecast.cpp
+++ b/fulmarlink/loadforecast.cpp
@@ -56,7 +56,7 @@
 {
     const double sum = std::accumulate(load.begin(), load.end(), 0.0);
     if (sum <= 0) {
-        miss();
+        recordMissedInterval();
         return;
     }
     double error = 0;
@@ -86,7 +86,7 @@
     }
 }
 
-void LoadForecast::miss()
+void LoadForecast::recordMissedInterval()
 {
     ++m_age;
 }
--- a/fulmarlink/loadforecast.h
+++ b/fulmarlink/loadforecast.h
@@ -27,7 +27,7 @@
 
     void observe(const LayerLoad &load);
     /** An interval without a report: the forecast stays, trust in it sinks. */
-    void miss();
+    void recordMissedInterval();
     /** Shares of the layer's load, summing to one. */
     const LayerLoad &next() const;
     /** Mean relative error of the last forecasts; what a plan can't see below. */
--- a/fulmarlink/refusalhistory.h
+++ b/fulmarlink/refusalbackoff.h
@@ -13,17 +13,17 @@
  *
  * Contract: pure; not thread-safe; O(1).
  */
-class RefusalHistory
+class RefusalBackoff
 {
 public:
-    static constexpr Duration kFirstPause = std::chrono::milliseconds(100);
-    static constexpr unsigned kMostDoublings = 4;
+    static constexpr Duration kInitialDelay = std::chrono::milliseconds(100);
+    static constexpr unsigned kMaxDoublings = 4;
 
-    void refused(TimePoint now);
-    void took();
-    bool passedOver(TimePoint now) const;
+    void recordRefusal(TimePoint now);
+    void recordAcceptance();
+    bool isActive(TimePoint now) const;
     /** It has refused more than it took lately, so a request that was refused before goes elsewhere if it can. */
-    bool doubtful() const;
+    bool hasRecentRefusals() const;
 
 private:
     unsigned m_level = 0;
--- a/fulmarlink/returnqueue.cpp
+++ b/fulmarlink/retryafterpacer.cpp
@@ -1,4 +1,4 @@
-#include "fulmarlink/returnqueue.h"
+#include "fulmarlink/retryafterpacer.h"
 
 #include <algorithm>
 
@@ -13,10 +13,10 @@
 
 } // namespace
 
-Duration ReturnQueue::next(double perSecond, Duration soonest, TimePoint now, Random &random)
+Duration RetryAfterPacer::nextDelay(double perSecond, Duration soonest, TimePoint now, Random &random)
 {
     const auto spacing = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / std::max(perSecond, kLeastPerSecond)));
-    m_last = std::min(std::max(m_last, now + soonest) + spacing, now + kLongest);
+    m_last = std::min(std::max(m_last, now + soonest) + spacing, now + kMaxDelay);
     const double jitter = std::uniform_real_distribution<double>(1 - kJitter, 1 + kJitter)(random);
     return std::chrono::duration_cast<Duration>((m_last - now) * jitter);
 }
--- a/fulmarlink/returnqueue.h
+++ b/fulmarlink/retryafterpacer.h
@@ -11,14 +11,14 @@
  *
  * Contract: pure; not thread-safe; O(1).
  */
-class ReturnQueue
+class RetryAfterPacer
 {
 public:
     /** Callers that are told of a later time have mostly given up by then, and their places are free again. */
-    static constexpr Duration kLongest = std::chrono::seconds(10);
+    static constexpr Duration kMaxDelay = std::chrono::seconds(10);
 
     /** For the next caller, where @p perSecond of them find room and the first one no sooner than @p soonest from now. */
-    Duration next(double perSecond, Duration soonest, TimePoint now, Random &random);
+    Duration nextDelay(double perSecond, Duration soonest, TimePoint now, Random &random);
 
 private:
     TimePoint m_last{};
--- a/fulmarlink/retrybudget.cpp
+++ b/fulmarlink/retrybudget.cpp
@@ -5,19 +5,19 @@
 namespace fulmarlink
 {
 
-void RetryBudget::countFirst()
+void RetryBudget::countFirstAttempt()
 {
     const std::lock_guard lock(m_mutex);
-    m_saved = std::min(kMaxSaved, m_saved + m_share);
+    m_balance = std::min(kMaxBalance, m_balance + m_share);
 }
 
 bool RetryBudget::takeRetry(double cost)
 {
     const std::lock_guard lock(m_mutex);
-    if (m_saved < cost) {
+    if (m_balance < cost) {
         return false;
     }
-    m_saved -= cost;
+    m_balance -= cost;
     return true;
 }
 
--- a/fulmarlink/retrybudget.h
+++ b/fulmarlink/retrybudget.h
@@ -10,17 +10,17 @@
  * retries can't multiply an overload. Since every entry obeys the same share, the
  * whole system does too: agents and engines never retry by themselves.
  *
- * How to use: countFirst() for each new request; a retry is sent only if takeRetry()
+ * How to use: countFirstAttempt() for each new request; a retry is sent only if takeRetry()
  * gives true. Early refusals by an agent that never reached an engine cost
  * kRefusalCost of a retry, since they spend no runner time.
  *
  * Contract: thread-safe, O(1). Over any span in which n first attempts came, at most
- * share * n + kMaxSaved retries are allowed.
+ * share * n + kMaxBalance retries are allowed.
  */
 class RetryBudget
 {
 public:
-    static constexpr double kMaxSaved = 10;
+    static constexpr double kMaxBalance = 10;
     static constexpr double kRefusalCost = 0.1;
 
     explicit RetryBudget(double share)
@@ -28,13 +28,13 @@
     {
     }
 
-    void countFirst();
+    void countFirstAttempt();
     bool takeRetry(double cost = 1.0);
 
 private:
     const double m_share;
     std::mutex m_mutex;
-    double m_saved = kMaxSaved;
+    double m_balance = kMaxBalance;
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/servicetime.h
+++ b/fulmarlink/servicetime.h
@@ -11,17 +11,17 @@
 class ServiceTime
 {
 public:
-    static constexpr Duration kUnknown = std::chrono::milliseconds(100); ///< assumed before the first one has ended
-    static constexpr int kWeight = 16; ///< requests that the mean reaches back
+    static constexpr Duration kInitialEstimate = std::chrono::milliseconds(100); ///< assumed before the first one has ended
+    static constexpr int kMeanWindow = 16; ///< requests that the mean reaches back
 
-    void seen(Duration time)
+    void record(Duration time)
     {
-        m_mean = m_mean ? *m_mean + (time - *m_mean) / kWeight : time;
+        m_mean = m_mean ? *m_mean + (time - *m_mean) / kMeanWindow : time;
     }
 
     Duration mean() const
     {
-        return m_mean.value_or(kUnknown);
+        return m_mean.value_or(kInitialEstimate);
     }
 
 private:
--- a/fulmarlink/targettable.cpp
+++ b/fulmarlink/targettable.cpp
@@ -66,7 +66,7 @@
     state.failures = 0;
     state.ejectedUntil = TimePoint{};
     state.group.clear();
-    state.refusals = RefusalHistory();
+    state.refusals = RefusalBackoff();
 }
 
 bool TargetTable::usable(const State &state, TimePoint now) const
@@ -137,8 +137,8 @@
         ++best.candidate.runners;
         // A request that was refused before goes to runners that are known to take work.
         const bool slowStart = m_signals != nullptr && m_signals->inSlowStart({id, state.info.born}, now);
-        const bool onProbation = !tried.empty() && (slowStart || state.refusals.doubtful());
-        const bool passedOver = state.ejectedUntil > now || state.refusals.passedOver(now) || onProbation || (state.slow && !mutated(Mutation::SendToSlow));
+        const bool onProbation = !tried.empty() && (slowStart || state.refusals.hasRecentRefusals());
+        const bool passedOver = state.ejectedUntil > now || state.refusals.isActive(now) || onProbation || (state.slow && !mutated(Mutation::SendToSlow));
         const std::pair key(passedOver, score(state, now));
         const std::pair bestKey(best.candidate.passedOver, best.candidate.load);
         if (best.ties > 0 && key > bestKey) {
@@ -250,7 +250,7 @@
     const auto it = m_states.find(id);
     const bool full = it == m_states.end() || !load || load->waiting > 0 || load->running >= it->second.info.slots;
     if (!full) {
-        it->second.refusals.refused(now);
+        it->second.refusals.recordRefusal(now);
     }
     return !full;
 }
@@ -259,7 +259,7 @@
 {
     const auto it = m_states.find(id);
     if (it != m_states.end()) {
-        it->second.refusals.took();
+        it->second.refusals.recordAcceptance();
     }
 }
 
--- a/fulmarlink/targettable.h
+++ b/fulmarlink/targettable.h
@@ -10,7 +10,7 @@
 
 #include "fulmarlink/clock.h"
 #include "fulmarlink/httpclient.h"
-#include "fulmarlink/refusalhistory.h"
+#include "fulmarlink/refusalbackoff.h"
 
 namespace fulmarlink
 {
@@ -159,7 +159,7 @@
         TimePoint heardAt{};
         unsigned failures = 0; ///< in a row
         TimePoint ejectedUntil{};
-        RefusalHistory refusals;
+        RefusalBackoff refusals;
         bool slow = false;
     };
 
--- a/fulmarlink/windowbudget.cpp
+++ b/fulmarlink/windowbudget.cpp
@@ -23,17 +23,17 @@
     m_requests.push_back(now);
 }
 
-bool WindowBudget::hasRoom(TimePoint now)
+bool WindowBudget::canTakeRepeat(TimePoint now)
 {
     expire(now);
     const double shared = m_options.slack / std::max(1U, m_options.entries);
-    const double allowed = kShareUsed * (m_options.ratio * static_cast<double>(m_requests.size()) + shared);
+    const double allowed = kUsableShare * (m_options.ratio * static_cast<double>(m_requests.size()) + shared);
     return static_cast<double>(m_repeats.size()) + 1 <= allowed || mutated(Mutation::UnboundedRepeats);
 }
 
 bool WindowBudget::takeRepeat(TimePoint now)
 {
-    if (!hasRoom(now)) {
+    if (!canTakeRepeat(now)) {
         return false;
     }
     m_repeats.push_back(now);
--- a/fulmarlink/windowbudget.h
+++ b/fulmarlink/windowbudget.h
@@ -19,23 +19,23 @@
  *
  * Each entry keeps to the ratio of its own requests and to its part of the slack, so the
  * sum over all entries keeps to the ratio and the slack without a message between them.
- * kShareUsed leaves the rest of both for entries that have just been restarted and have
+ * kUsableShare leaves the rest of both for entries that have just been restarted and have
  * forgotten what they sent.
  *
- * Contract: in any window the repeats granted are at most kShareUsed x (ratio x requests
+ * Contract: in any window the repeats granted are at most kUsableShare x (ratio x requests
  * of that window + slack / entries). O(1) amortised; not thread-safe.
  */
 class WindowBudget
 {
 public:
-    static constexpr double kShareUsed = 0.7;
+    static constexpr double kUsableShare = 0.7;
 
     explicit WindowBudget(WindowBudgetOptions options);
 
     void setOptions(WindowBudgetOptions options);
     void countRequest(TimePoint now);
     /** True if one more repeat would keep the bound now. */
-    bool hasRoom(TimePoint now);
+    bool canTakeRepeat(TimePoint now);
     /** True, and counted, if one more repeat keeps the bound. */
     bool takeRepeat(TimePoint now);
 
--- a/testing/harness/customerlimitersimulation.cpp
+++ b/testing/harness/customerlimitersimulation.cpp
@@ -61,7 +61,7 @@
     }
     const RequestId id = m_nextRequest++;
     m_requests[id] = {customer, tokens};
-    m_entries[entry].limiter->take(m_now, {id, customer, tokens, limit});
+    m_entries[entry].limiter->requestTokens(m_now, {id, customer, tokens, limit});
     collectOutput(entry);
 }
 
--- a/testing/livehosts_test.cpp
+++ b/testing/livehosts_test.cpp
@@ -15,13 +15,13 @@
 TEST(LiveHosts, WhoRenewsItsRecordLivesAndWhoDoesNotIsGoneAfterAFewReadings)
 {
     LiveHosts hosts;
-    for (std::uint64_t reading = 1; reading <= LiveHosts::kMissed; ++reading) {
-        hosts.seen({{"a", 10 + reading}, {"b", 7}});
+    for (std::uint64_t reading = 1; reading <= LiveHosts::kUnchangedReadsUntilGone; ++reading) {
+        hosts.recordRead({{"a", 10 + reading}, {"b", 7}});
         EXPECT_EQ(hosts.hosts(), Names({"a", "b"})) << reading;
     }
-    hosts.seen({{"a", 20}, {"b", 7}});
+    hosts.recordRead({{"a", 20}, {"b", 7}});
     EXPECT_EQ(hosts.hosts(), Names({"a"}));
-    hosts.seen({{"a", 21}, {"b", 22}});
+    hosts.recordRead({{"a", 21}, {"b", 22}});
     EXPECT_EQ(hosts.hosts(), Names({"a", "b"})) << "it is back";
 }
 
@@ -29,10 +29,10 @@
 {
     LiveHosts hosts;
     for (unsigned outage = 0; outage < 10; ++outage) {
-        for (unsigned reading = 1; reading < LiveHosts::kMissed; ++reading) {
-            hosts.seen({{"a", 1}});
+        for (unsigned reading = 1; reading < LiveHosts::kUnchangedReadsUntilGone; ++reading) {
+            hosts.recordRead({{"a", 1}});
         }
-        hosts.outage();
+        hosts.recordFailedRead();
     }
     EXPECT_EQ(hosts.hosts(), Names({"a"}));
 }
@@ -40,20 +40,20 @@
 TEST(LiveHosts, AnOutageBringsNobodyBackWhoWasGoneBefore)
 {
     LiveHosts hosts;
-    for (unsigned reading = 0; reading <= LiveHosts::kMissed; ++reading) {
-        hosts.seen({{"a", 100 + reading}, {"b", 1}});
+    for (unsigned reading = 0; reading <= LiveHosts::kUnchangedReadsUntilGone; ++reading) {
+        hosts.recordRead({{"a", 100 + reading}, {"b", 1}});
     }
-    hosts.outage();
-    hosts.seen({{"a", 200}, {"b", 1}});
+    hosts.recordFailedRead();
+    hosts.recordRead({{"a", 200}, {"b", 1}});
     EXPECT_EQ(hosts.hosts(), Names({"a"}));
 }
 
 TEST(LiveHosts, ReadingsInBetweenFindNewHostsAndMissNone)
 {
     LiveHosts hosts;
-    hosts.seen({{"a", 1}});
-    for (unsigned reading = 0; reading < 3 * LiveHosts::kMissed; ++reading) {
-        hosts.joined({{"a", 1}, {"b", 2}});
+    hosts.recordRead({{"a", 1}});
+    for (unsigned reading = 0; reading < 3 * LiveHosts::kUnchangedReadsUntilGone; ++reading) {
+        hosts.recordIntermediateRead({{"a", 1}, {"b", 2}});
     }
     EXPECT_EQ(hosts.hosts(), Names({"a", "b"}));
 }
@@ -61,8 +61,8 @@
 TEST(LiveHosts, AHostOfAVersionThatWritesOnceCountsAsLiving)
 {
     LiveHosts hosts;
-    for (std::uint64_t reading = 0; reading < 3 * LiveHosts::kMissed; ++reading) {
-        hosts.seen({{"a", 100 + reading}, {"b", 1, false}});
+    for (std::uint64_t reading = 0; reading < 3 * LiveHosts::kUnchangedReadsUntilGone; ++reading) {
+        hosts.recordRead({{"a", 100 + reading}, {"b", 1, false}});
     }
     EXPECT_EQ(hosts.hosts(), Names({"a", "b"}));
 }
@@ -70,8 +70,8 @@
 TEST(LiveHosts, ARecordThatWasRemovedIsNoHost)
 {
     LiveHosts hosts;
-    hosts.seen({{"a", 1}, {"b", 2}});
-    hosts.seen({{"a", 3}});
+    hosts.recordRead({{"a", 1}, {"b", 2}});
+    hosts.recordRead({{"a", 3}});
     EXPECT_EQ(hosts.hosts(), Names({"a"}));
 }
 
--- a/testing/refusalhistory_test.cpp
+++ b/testing/refusalbackoff_test.cpp
@@ -4,7 +4,7 @@
 #include <array>
 #include <gtest/gtest.h>
 
-#include "fulmarlink/refusalhistory.h"
+#include "fulmarlink/refusalbackoff.h"
 #include "fulmarlink/targettable.h"
 #include "testing/harness/mutation_on.h"
 
@@ -72,26 +72,26 @@
 
 } // namespace
 
-TEST(RefusalHistory, EachRefusalDoublesThePauseAndEachRequestTakenHalvesTheNext)
+TEST(RefusalBackoff, EachRefusalDoublesThePauseAndEachRequestTakenHalvesTheNext)
 {
-    RefusalHistory history;
-    EXPECT_FALSE(history.doubtful());
-    history.refused(kStart);
-    EXPECT_TRUE(history.passedOver(kStart + RefusalHistory::kFirstPause - 1us));
-    EXPECT_FALSE(history.passedOver(kStart + RefusalHistory::kFirstPause));
-    history.refused(kStart + 1s);
-    EXPECT_TRUE(history.passedOver(kStart + 1s + RefusalHistory::kFirstPause * 2 - 1us));
-    history.took();
-    history.took();
-    EXPECT_FALSE(history.doubtful());
+    RefusalBackoff backoff;
+    EXPECT_FALSE(backoff.hasRecentRefusals());
+    backoff.recordRefusal(kStart);
+    EXPECT_TRUE(backoff.isActive(kStart + RefusalBackoff::kInitialDelay - 1us));
+    EXPECT_FALSE(backoff.isActive(kStart + RefusalBackoff::kInitialDelay));
+    backoff.recordRefusal(kStart + 1s);
+    EXPECT_TRUE(backoff.isActive(kStart + 1s + RefusalBackoff::kInitialDelay * 2 - 1us));
+    backoff.recordAcceptance();
+    backoff.recordAcceptance();
+    EXPECT_FALSE(backoff.hasRecentRefusals());
     for (unsigned i = 0; i < 100; ++i) {
-        history.refused(kStart + 2s);
+        backoff.recordRefusal(kStart + 2s);
     }
-    EXPECT_FALSE(history.passedOver(kStart + 2s + RefusalHistory::kFirstPause * 16)) << "no longer than this";
+    EXPECT_FALSE(backoff.isActive(kStart + 2s + RefusalBackoff::kInitialDelay * 16)) << "no longer than this";
 }
 
 // Guards against work that goes to the runners that refuse it, since they look the least loaded.
-TEST(RefusalHistory, MostRequestsGoToTheRunnersThatTakeThem)
+TEST(RefusalBackoff, MostRequestsGoToTheRunnersThatTakeThem)
 {
     const Played half = play(kRunners / 2, 0.9);
     EXPECT_EQ(half.unserved, 0U);
@@ -102,20 +102,20 @@
 }
 
 // Guards against runners that are left out for refusing now and then.
-TEST(RefusalHistory, ARunnerThatTurnsAwayAThirdKeepsMostOfItsPart)
+TEST(RefusalBackoff, ARunnerThatTurnsAwayAThirdKeepsMostOfItsPart)
 {
     const Played played = play(kRunners, 0.3);
     EXPECT_LE(played.unserved, 15U) << "0.3 to the fourth of 500 is 4";
     EXPECT_LE(played.arrivals, 500 * 1.6) << "1.43 sends each";
 }
 
-TEST(RefusalHistory, WhereAllTurnMostAwayRequestsAreTriedAllTheSame)
+TEST(RefusalBackoff, WhereAllTurnMostAwayRequestsAreTriedAllTheSame)
 {
     const Played played = play(kRunners, 0.8);
     EXPECT_LE(played.unserved, 500 * 0.5) << "0.41 by chance";
 }
 
-TEST(RefusalHistory, ARunnerWhoseSlotsAreFullIsNotToBlame)
+TEST(RefusalBackoff, ARunnerWhoseSlotsAreFullIsNotToBlame)
 {
     TargetTable table({});
     table.setTargets({{.id = "i-0", .pool = "p", .address = {}, .zone = {}, .slots = kSlots}}, kStart);
@@ -126,7 +126,7 @@
     EXPECT_TRUE(table.refused("i-0", TargetLoad{3, 0}, kStart));
 }
 
-TEST(RefusalHistoryMutation, ATableThatForgetsRefusalsIsCaught)
+TEST(RefusalBackoffMutation, ATableThatForgetsRefusalsIsCaught)
 {
     const ScopedMutation scoped(Mutation::ForgetRefusals);
     const Played half = play(kRunners / 2, 0.9);
--- a/testing/runnersignals_test.cpp
+++ b/testing/runnersignals_test.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <vector>
 
-#include "fulmarlink/returnqueue.h"
+#include "fulmarlink/retryafterpacer.h"
 #include "fulmarlink/runnersignals.h"
 #include "testing/harness/mutation_on.h"
 
