--- a/fulmarlink/refusalbackoff.cpp
+++ b/fulmarlink/refusalbackoff.cpp
@@ -16,12 +16,12 @@
     m_level = std::min(m_level + 1, kMaxDoublings);
 }
 
-void RefusalBackoff::recordAcceptance()
+void RefusalBackoff::recordAccepted()
 {
     m_level -= m_level > 0 ? 1 : 0;
 }
 
-bool RefusalBackoff::isActive(TimePoint now) const
+bool RefusalBackoff::isBackingOff(TimePoint now) const
 {
     return now < m_until;
 }
--- a/fulmarlink/refusalbackoff.h
+++ b/fulmarlink/refusalbackoff.h
@@ -20,8 +20,8 @@
     static constexpr unsigned kMaxDoublings = 4;
 
     void recordRefusal(TimePoint now);
-    void recordAcceptance();
-    bool isActive(TimePoint now) const;
+    void recordAccepted();
+    bool isBackingOff(TimePoint now) const;
     /** It has refused more than it took lately, so a request that was refused before goes elsewhere if it can. */
     bool hasRecentRefusals() const;
 
--- a/fulmarlink/targettable.cpp
+++ b/fulmarlink/targettable.cpp
@@ -138,7 +138,7 @@
         // A request that was refused before goes to runners that are known to take work.
         const bool slowStart = m_signals != nullptr && m_signals->inSlowStart({id, state.info.born}, now);
         const bool onProbation = !tried.empty() && (slowStart || state.refusals.hasRecentRefusals());
-        const bool passedOver = state.ejectedUntil > now || state.refusals.isActive(now) || onProbation || (state.slow && !mutated(Mutation::SendToSlow));
+        const bool passedOver = state.ejectedUntil > now || state.refusals.isBackingOff(now) || onProbation || (state.slow && !mutated(Mutation::SendToSlow));
         const std::pair key(passedOver, score(state, now));
         const std::pair bestKey(best.candidate.passedOver, best.candidate.load);
         if (best.ties > 0 && key > bestKey) {
@@ -259,7 +259,7 @@
 {
     const auto it = m_states.find(id);
     if (it != m_states.end()) {
-        it->second.refusals.recordAcceptance();
+        it->second.refusals.recordAccepted();
     }
 }
 
--- a/testing/refusalbackoff_test.cpp
+++ b/testing/refusalbackoff_test.cpp
@@ -77,17 +77,17 @@
     RefusalBackoff backoff;
     EXPECT_FALSE(backoff.hasRecentRefusals());
     backoff.recordRefusal(kStart);
-    EXPECT_TRUE(backoff.isActive(kStart + RefusalBackoff::kInitialDelay - 1us));
-    EXPECT_FALSE(backoff.isActive(kStart + RefusalBackoff::kInitialDelay));
+    EXPECT_TRUE(backoff.isBackingOff(kStart + RefusalBackoff::kInitialDelay - 1us));
+    EXPECT_FALSE(backoff.isBackingOff(kStart + RefusalBackoff::kInitialDelay));
     backoff.recordRefusal(kStart + 1s);
-    EXPECT_TRUE(backoff.isActive(kStart + 1s + RefusalBackoff::kInitialDelay * 2 - 1us));
-    backoff.recordAcceptance();
-    backoff.recordAcceptance();
+    EXPECT_TRUE(backoff.isBackingOff(kStart + 1s + RefusalBackoff::kInitialDelay * 2 - 1us));
+    backoff.recordAccepted();
+    backoff.recordAccepted();
     EXPECT_FALSE(backoff.hasRecentRefusals());
     for (unsigned i = 0; i < 100; ++i) {
         backoff.recordRefusal(kStart + 2s);
     }
-    EXPECT_FALSE(backoff.isActive(kStart + 2s + RefusalBackoff::kInitialDelay * 16)) << "no longer than this";
+    EXPECT_FALSE(backoff.isBackingOff(kStart + 2s + RefusalBackoff::kInitialDelay * 16)) << "no longer than this";
 }
 
 // Guards against work that goes to the runners that refuse it, since they look the least loaded.
