--- a/fulmarlink/customerlimiter.cpp
+++ b/fulmarlink/customerlimiter.cpp
@@ -10,8 +10,8 @@
 {
 
 constexpr double kDemandWindow = 1.0; ///< seconds over which demand is smoothed
-constexpr Duration kFallbackFor = std::chrono::seconds(1); ///< before the home is asked again
-constexpr Duration kForgetAfter = std::chrono::minutes(5);
+constexpr Duration kFallbackDuration = std::chrono::seconds(1); ///< for this long after a timeout the home is not asked again
+constexpr Duration kIdleExpiry = std::chrono::minutes(5);
 
 double secondsBetween(TimePoint from, TimePoint to)
 {
@@ -35,8 +35,8 @@
 
 bool CustomerLimiter::Bucket::take(TimePoint now, double rate, double burst, double amount)
 {
-    tokens = std::min(burst, tokens + rate * secondsBetween(filled, now));
-    filled = now;
+    tokens = std::min(burst, tokens + rate * secondsBetween(updatedAt, now));
+    updatedAt = now;
     if (tokens < amount) {
         return false;
     }
@@ -51,8 +51,8 @@
         return;
     }
     m_entries = std::move(entries);
-    m_homesSince = now;
-    // What this node kept for customers that have moved on is void: their new home starts anew.
+    m_entriesChangedAt = now;
+    // Drops the buckets of customers whose home is now another entry, which starts with an empty bucket.
     std::erase_if(m_buckets, [this](const auto &item) {
         return homeOf(item.first) != m_options.self;
     });
@@ -72,56 +72,56 @@
     return best;
 }
 
-void CustomerLimiter::requestTokens(TimePoint now, const LimitAction &wanted)
+void CustomerLimiter::requestTokens(TimePoint now, const LimitAction &action)
 {
-    const bool full = m_customers.size() >= m_options.maxCustomers && !m_customers.contains(wanted.customer);
+    const bool full = m_customers.size() >= m_options.maxCustomers && !m_customers.contains(action.customer);
     if (full || m_entries.empty()) {
-        decide(wanted.request, false, fromSeconds(1));
+        decide(action.request, false, fromSeconds(1));
         return;
     }
-    Customer &customer = m_customers[wanted.customer];
-    customer.limit = wanted.limit;
-    customer.fallback.filled = std::max(customer.fallback.filled, m_homesSince);
-    customer.used = now;
-    const auto tokens = static_cast<std::uint32_t>(std::min<std::uint64_t>(wanted.tokens, wanted.limit.burst));
-    const double faded = std::exp(-secondsBetween(customer.lastDemand, now) / kDemandWindow);
-    customer.demand = customer.demand * (customer.lastDemand == TimePoint{} ? 0 : faded) + tokens / kDemandWindow;
+    Customer &customer = m_customers[action.customer];
+    customer.limit = action.limit;
+    customer.fallback.updatedAt = std::max(customer.fallback.updatedAt, m_entriesChangedAt);
+    customer.lastUsed = now;
+    const auto tokens = static_cast<std::uint32_t>(std::min<std::uint64_t>(action.tokens, action.limit.burst));
+    const double decay = std::exp(-secondsBetween(customer.lastDemand, now) / kDemandWindow);
+    customer.demand = customer.demand * (customer.lastDemand == TimePoint{} ? 0 : decay) + tokens / kDemandWindow;
     customer.lastDemand = now;
     if (now < customer.refusedUntil) {
-        decide(wanted.request, false, customer.refusedUntil - now);
+        decide(action.request, false, customer.refusedUntil - now);
         return;
     }
-    customer.waiting.push_back({wanted.request, tokens, now + m_options.homeTimeout});
-    serveStock(now, customer);
-    if (customer.waiting.empty()) {
+    customer.pending.push_back({action.request, tokens, now + m_options.homeTimeout});
+    grantFromPrefetched(now, customer);
+    if (customer.pending.empty()) {
         return;
     }
     if (now < customer.fallbackUntil) {
-        const Waiting last = customer.waiting.back();
-        customer.waiting.pop_back();
-        decideAlone(now, customer, last);
+        const PendingRequest last = customer.pending.back();
+        customer.pending.pop_back();
+        decideByFallback(now, customer, last);
         return;
     }
-    if (customer.asked == 0) {
-        ask(now, wanted.customer, customer);
+    if (customer.openAsk == 0) {
+        ask(now, action.customer, customer);
     }
 }
 
 void CustomerLimiter::ask(TimePoint now, std::uint64_t id, Customer &customer)
 {
     double needed = 0;
-    for (const Waiting &waiting : customer.waiting) {
-        needed += waiting.tokens;
+    for (const PendingRequest &pendingRequest : customer.pending) {
+        needed += pendingRequest.tokens;
     }
-    const double ahead = customer.demand * m_options.prefetchSeconds;
-    customer.asked = m_nextSequence++;
+    const double prefetch = customer.demand * m_options.prefetchSeconds;
+    customer.openAsk = m_nextSequence++;
     customer.askedAt = now;
     m_counters.add(m_asks);
     wire::LimitAskT message;
     message.customer = id;
-    message.sequence = customer.asked;
-    message.least = customer.waiting.front().tokens;
-    message.tokens = static_cast<std::uint32_t>(std::min<double>(static_cast<double>(customer.limit.burst), std::max(needed, ahead)));
+    message.sequence = customer.openAsk;
+    message.least = customer.pending.front().tokens;
+    message.tokens = static_cast<std::uint32_t>(std::min<double>(static_cast<double>(customer.limit.burst), std::max(needed, prefetch)));
     message.rate = customer.limit.tokensPerSecond;
     message.burst = customer.limit.burst;
     m_messages.push_back({homeOf(id), message});
@@ -139,12 +139,12 @@
 void CustomerLimiter::onAsk(TimePoint now, NodeId from, const wire::LimitAskT &ask)
 {
     if (homeOf(ask.customer) != m_options.self || ask.rate == 0 || ask.least > ask.tokens) {
-        return; // the asker sees another host list; its fallback decides
+        return; // the sender has a different host list; its fallback decides when the answer times out
     }
     if (m_buckets.size() >= m_options.maxCustomers && !m_buckets.contains(ask.customer)) {
         return;
     }
-    Bucket &bucket = m_buckets.try_emplace(ask.customer, Bucket{0, m_homesSince}).first->second;
+    Bucket &bucket = m_buckets.try_emplace(ask.customer, Bucket{0, m_entriesChangedAt}).first->second;
     const auto rate = static_cast<double>(ask.rate);
     const auto burst = static_cast<double>(ask.burst);
     wire::LimitGrantT grant;
@@ -163,67 +163,67 @@
 void CustomerLimiter::onGrant(TimePoint now, const wire::LimitGrantT &grant)
 {
     const auto it = m_customers.find(grant.customer);
-    if (it == m_customers.end() || it->second.asked != grant.sequence) {
+    if (it == m_customers.end() || it->second.openAsk != grant.sequence) {
         return;
     }
     Customer &customer = it->second;
-    customer.asked = 0;
-    customer.stock = (now < customer.stockUntil ? customer.stock : 0) + grant.tokens;
-    customer.stockUntil = now + m_options.prefetchLifetime;
-    serveStock(now, customer);
+    customer.openAsk = 0;
+    customer.prefetched = (now < customer.prefetchedUntil ? customer.prefetched : 0) + grant.tokens;
+    customer.prefetchedUntil = now + m_options.prefetchLifetime;
+    grantFromPrefetched(now, customer);
     if (grant.tokens == 0) {
         customer.refusedUntil = now + std::chrono::milliseconds(grant.retry_after_ms);
-        for (const Waiting &waiting : customer.waiting) {
-            decide(waiting.request, false, std::chrono::milliseconds(grant.retry_after_ms));
+        for (const PendingRequest &pendingRequest : customer.pending) {
+            decide(pendingRequest.request, false, std::chrono::milliseconds(grant.retry_after_ms));
         }
-        customer.waiting.clear();
-    } else if (!customer.waiting.empty()) {
+        customer.pending.clear();
+    } else if (!customer.pending.empty()) {
         ask(now, grant.customer, customer);
     }
 }
 
-void CustomerLimiter::serveStock(TimePoint now, Customer &customer)
+void CustomerLimiter::grantFromPrefetched(TimePoint now, Customer &customer)
 {
-    if (now >= customer.stockUntil) {
-        customer.stock = 0;
+    if (now >= customer.prefetchedUntil) {
+        customer.prefetched = 0;
     }
     std::size_t served = 0;
-    while (served < customer.waiting.size() && customer.stock >= customer.waiting[served].tokens) {
-        customer.stock -= customer.waiting[served].tokens;
-        decide(customer.waiting[served].request, true, Duration(0));
+    while (served < customer.pending.size() && customer.prefetched >= customer.pending[served].tokens) {
+        customer.prefetched -= customer.pending[served].tokens;
+        decide(customer.pending[served].request, true, Duration(0));
         ++served;
     }
-    customer.waiting.erase(customer.waiting.begin(), customer.waiting.begin() + static_cast<std::ptrdiff_t>(served));
+    customer.pending.erase(customer.pending.begin(), customer.pending.begin() + static_cast<std::ptrdiff_t>(served));
 }
 
-/** The home can't be reached: an even share of the rate, kept by this entry alone. */
-void CustomerLimiter::decideAlone(TimePoint now, Customer &customer, const Waiting &waiting)
+/** Decides from this entry's fallback bucket, which fills at an even share of the rate, because the home can't be reached. */
+void CustomerLimiter::decideByFallback(TimePoint now, Customer &customer, const PendingRequest &pendingRequest)
 {
     m_counters.add(m_fallbacks);
     const double share = m_options.fallbackShare / static_cast<double>(std::max<std::size_t>(1, m_entries.size()));
     const double rate = static_cast<double>(customer.limit.tokensPerSecond) * share;
-    const double burst = std::max<double>(waiting.tokens, static_cast<double>(customer.limit.burst) * share);
-    if (customer.fallback.take(now, rate, burst, waiting.tokens)) {
-        decide(waiting.request, true, Duration(0));
+    const double burst = std::max<double>(pendingRequest.tokens, static_cast<double>(customer.limit.burst) * share);
+    if (customer.fallback.take(now, rate, burst, pendingRequest.tokens)) {
+        decide(pendingRequest.request, true, Duration(0));
         return;
     }
-    decide(waiting.request, false, fromSeconds((waiting.tokens - customer.fallback.tokens) / rate));
+    decide(pendingRequest.request, false, fromSeconds((pendingRequest.tokens - customer.fallback.tokens) / rate));
 }
 
 void CustomerLimiter::tick(TimePoint now)
 {
     for (auto &[id, customer] : m_customers) {
-        if (customer.waiting.empty() || now < customer.waiting.front().until) {
+        if (customer.pending.empty() || now < customer.pending.front().deadline) {
             continue;
         }
-        customer.asked = 0;
-        customer.fallbackUntil = now + kFallbackFor;
-        for (const Waiting &waiting : std::exchange(customer.waiting, {})) {
-            decideAlone(now, customer, waiting);
+        customer.openAsk = 0;
+        customer.fallbackUntil = now + kFallbackDuration;
+        for (const PendingRequest &pendingRequest : std::exchange(customer.pending, {})) {
+            decideByFallback(now, customer, pendingRequest);
         }
     }
     std::erase_if(m_customers, [now](const auto &item) {
-        return item.second.waiting.empty() && now >= item.second.used + kForgetAfter;
+        return item.second.pending.empty() && now >= item.second.lastUsed + kIdleExpiry;
     });
 }
 
--- a/fulmarlink/livehosts.cpp
+++ b/fulmarlink/livehosts.cpp
@@ -9,9 +9,9 @@
 {
     std::map<std::string, Host> hosts;
     for (const EntryRecord &record : records) {
-        const auto before = m_hosts.find(record.host);
-        const bool same = record.isRenewed && before != m_hosts.end() && before->second.revision == record.revision;
-        hosts[record.host] = {record.revision, same ? before->second.unchanged + 1 : 0};
+        const auto previous = m_hosts.find(record.host);
+        const bool isUnchanged = record.isRenewed && previous != m_hosts.end() && previous->second.revision == record.revision;
+        hosts[record.host] = {record.revision, isUnchanged ? previous->second.unchangedReads + 1 : 0};
     }
     m_hosts = std::move(hosts);
 }
@@ -29,7 +29,7 @@
 void LiveHosts::recordFailedRead()
 {
     for (auto &[name, host] : m_hosts) {
-        host.unchanged = host.unchanged < kUnchangedReadsUntilGone ? 0 : host.unchanged;
+        host.unchangedReads = host.unchangedReads < kUnchangedReadsUntilGone ? 0 : host.unchangedReads;
     }
 }
 
@@ -37,7 +37,7 @@
 {
     std::vector<std::string> result;
     for (const auto &[name, host] : m_hosts) {
-        if (host.unchanged < kUnchangedReadsUntilGone) {
+        if (host.unchangedReads < kUnchangedReadsUntilGone) {
             result.push_back(name);
         }
     }
--- a/fulmarlink/livehosts.h
+++ b/fulmarlink/livehosts.h
@@ -7,19 +7,21 @@
 namespace fulmarlink
 {
 
-/** What a host has written of itself into the store. */
+/** The record that an entry host keeps of itself in the store. */
 struct EntryRecord {
     std::string host;
-    std::uint64_t revision = 0; ///< higher with each renewal
-    bool isRenewed = true; ///< false: it is of a version that writes once, at its start
+    std::uint64_t revision = 0; ///< rises with each renewal
+    bool isRenewed = true; ///< false: the host runs an earlier version, which writes its record only at startup
 };
 
 /**
- * Which entry hosts live, from successive readings of what they write of themselves.
+ * Tracks which entry hosts are alive from successive reads of their records in the store.
  *
- * A host isRenewed its record; one whose record stays the same for kUnchangedReadsUntilGone readings in a row is
- * gone. A host of an earlier version, which writes once, counts as living for good. Readings are counted instead of time, so that nobody is taken for gone
- * while the store is away; one reading after an outage tells nothing.
+ * A live host renews its record; a host whose record stays unchanged for kUnchangedReadsUntilGone
+ * reads in a row counts as gone. A host of an earlier version, which writes its record only once,
+ * counts as alive for as long as the record exists. Reads are counted instead of time, so that no
+ * host is declared gone while the store is unreachable. A single read after an outage proves
+ * nothing, since hosts may not have been able to renew their records.
  *
  * Contract: pure; not thread-safe; O(hosts log hosts).
  */
@@ -28,21 +30,22 @@
 public:
     static constexpr unsigned kUnchangedReadsUntilGone = 4;
 
-    /** One reading of all records, so long after the last one that hosts that live have renewed theirs. */
+    /** Applies a read of all records. Every live host must have had time to renew its record since the previous call. */
     void recordRead(const std::vector<EntryRecord> &records);
-    /** A reading in between: hosts that are new count from now on. */
+    /** Applies a read before all records are due for renewal: adds new hosts but counts no record as unchanged. */
     void recordIntermediateRead(const std::vector<EntryRecord> &records);
-    /** A reading failed: hosts may not have been able to renew theirs. */
+    /** Records a failed read. Hosts may not have been able to renew either, so the counts of those still alive restart. */
     void recordFailedRead();
+    /** The names of the live hosts, sorted. */
     std::vector<std::string> hosts() const;
 
 private:
     struct Host {
         std::uint64_t revision = 0;
-        unsigned unchanged = 0; ///< readings in a row
+        unsigned unchangedReads = 0; ///< in a row
     };
 
-    std::map<std::string, Host> m_hosts; ///< all that have a record
+    std::map<std::string, Host> m_hosts; ///< all hosts that have a record, by name
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/loadforecast.cpp
+++ b/fulmarlink/loadforecast.cpp
@@ -11,15 +11,15 @@
 {
 
 constexpr double kErrorSmoothing = 0.2;
-constexpr double kNoiseMargin = 1.8;
-constexpr double kLeastFactor = 0.05;
-constexpr double kMostFactor = 0.95;
+constexpr double kNoiseSignalMargin = 1.8;
+constexpr double kMinFactor = 0.05;
+constexpr double kMaxFactor = 0.95;
 constexpr double kTrendFactor = 0.2;
 constexpr double kTrendDamping = 0.7;
-constexpr double kTrendFrom = 0.5; ///< the factor above which a trend is believed
-constexpr double kVolatile = 2.5; ///< recent peak over expectation
-constexpr double kPeakDecay = 0.95; ///< an interval
-constexpr unsigned kReadyAfter = 3; ///< observations
+constexpr double kTrendMinFactor = 0.5; ///< below this factor the trend is damped
+constexpr double kVolatileRatio = 2.5; ///< recent peak over expected share, above which the peak is forecast
+constexpr double kPeakDecay = 0.95; ///< factor an interval
+constexpr unsigned kMinObservations = 3; ///< before the forecast is used
 
 } // namespace
 
@@ -39,15 +39,15 @@
     series.recentPeak = std::max(value, kPeakDecay * series.recentPeak);
     const double error = value - series.level;
     series.error += kErrorSmoothing * (error - series.error);
-    series.absolute += kErrorSmoothing * (std::abs(error) - series.absolute);
-    const double signal = series.absolute > 0 ? std::abs(series.error) / series.absolute : 0;
-    // Noise alone has a signal around sqrt(smoothing / (2 - smoothing)): only what is well above speaks of drift.
-    const double noiseSignal = kNoiseMargin * std::sqrt(kErrorSmoothing / (2 - kErrorSmoothing));
-    const double factor = std::clamp((signal - noiseSignal) / (1 - noiseSignal), kLeastFactor, kMostFactor);
-    const double before = series.level;
+    series.absoluteError += kErrorSmoothing * (std::abs(error) - series.absoluteError);
+    const double signal = series.absoluteError > 0 ? std::abs(series.error) / series.absoluteError : 0;
+    // Pure noise gives a signal of about sqrt(smoothing / (2 - smoothing)); only a signal well above that indicates drift.
+    const double noiseSignal = kNoiseSignalMargin * std::sqrt(kErrorSmoothing / (2 - kErrorSmoothing));
+    const double factor = std::clamp((signal - noiseSignal) / (1 - noiseSignal), kMinFactor, kMaxFactor);
+    const double previousLevel = series.level;
     series.level += factor * error;
-    series.trend += kTrendFactor * ((series.level - before) - series.trend);
-    if (factor < kTrendFrom) {
+    series.trend += kTrendFactor * ((series.level - previousLevel) - series.trend);
+    if (factor < kTrendMinFactor) {
         series.trend *= kTrendDamping;
     }
 }
@@ -76,9 +76,9 @@
     double sum = 0;
     for (std::size_t i = 0; i < m_series.size(); ++i) {
         const Series &series = m_series[i];
-        // One that jumps to and fro is planned for as busy as it lately was.
+        // A share that alternates between two states is forecast at its recent peak.
         const double expected = std::max(0.0, series.level + kTrendDamping * series.trend);
-        m_next[i] = series.recentPeak > kVolatile * expected ? series.recentPeak : expected;
+        m_next[i] = series.recentPeak > kVolatileRatio * expected ? series.recentPeak : expected;
         sum += m_next[i];
     }
     for (double &share : m_next) {
@@ -108,7 +108,7 @@
 
 bool LoadForecast::ready() const
 {
-    return m_seen >= kReadyAfter;
+    return m_seen >= kMinObservations;
 }
 
 } // namespace fulmarlink
--- a/fulmarlink/loadforecast.h
+++ b/fulmarlink/loadforecast.h
@@ -8,17 +8,17 @@
 {
 
 /**
- * Forecasts the next interval's load of one layer's experts from the intervals before.
+ * Forecasts the load of one layer's experts in the next interval from the loads of past intervals.
  *
- * Algorithm: exponential smoothing whose factor follows the evidence (Trigg and Leach,
- * "Exponential smoothing with an adaptive response rate", 1967): the factor is the
- * smoothed error over the smoothed absolute error, so steady drift or a sudden shift
- * drives it towards one and pure noise towards zero. A damped trend is added while the
- * factor is high (Holt). An expert whose recent peak is twice its expectation flips to
- * and fro and is planned for at its peak, so that either state is balanced. Loads are handled as shares of the layer's total, so a change
- * of the total is no change of popularity.
+ * Algorithm: exponential smoothing with an adaptive factor (Trigg and Leach, "Exponential smoothing
+ * with an adaptive response rate", 1967). The factor follows the ratio of the smoothed error to the
+ * smoothed absolute error, so steady drift or a sudden shift drives it towards one and pure noise
+ * towards zero. A damped trend (Holt) is added while the factor is high. An expert whose recent peak
+ * exceeds kVolatileRatio times its expected load alternates between two states; its peak is
+ * forecast, so that the plan is balanced in either state. Loads are handled as shares of the layer's
+ * total, so a change of the total does not change the forecast.
  *
- * Contract: O(experts) an observation; 40 bytes an expert.
+ * Contract: observe() is O(experts); memory is 40 bytes an expert.
  */
 class LoadForecast
 {
@@ -26,11 +26,11 @@
     explicit LoadForecast(unsigned experts);
 
     void observe(const LayerLoad &load);
-    /** An interval without a report: the forecast stays, trust in it sinks. */
+    /** Records an interval without a report: the forecast stays unchanged and its age grows. */
     void recordMissedInterval();
-    /** Shares of the layer's load, summing to one. */
+    /** The forecast shares of the layer's load; they sum to one. */
     const LayerLoad &next() const;
-    /** Mean relative error of the last forecasts; what a plan can't see below. */
+    /** Smoothed relative error of recent forecasts; a plan can't resolve differences smaller than this. */
     double relativeError() const;
     /** Intervals since the last report. */
     unsigned age() const;
@@ -40,9 +40,9 @@
     struct Series {
         double level = 0;
         double trend = 0;
-        double error = 0;
-        double absolute = 0;
-        double recentPeak = 0; ///< decays slowly
+        double error = 0; ///< smoothed, signed
+        double absoluteError = 0; ///< smoothed
+        double recentPeak = 0; ///< highest recent share; decays by kPeakDecay an interval
     };
 
     void update(Series &series, double value) const;
--- a/fulmarlink/refusalbackoff.h
+++ b/fulmarlink/refusalbackoff.h
@@ -6,10 +6,11 @@
 {
 
 /**
- * Refusals of one runner that had slots free by its own word and named no time: it is passed
- * over for a while, twice as long with each of them, half as long with each request that it
- * takes. A runner that turns away a third of its requests is hardly ever passed over; one that
- * turns away nine of ten mostly is, although it looks the least loaded of all.
+ * Exponential backoff for one runner that refuses requests although it reports free slots and
+ * gives no retry time. Each refusal doubles the delay for which the runner is deprioritised, up to
+ * kMaxDoublings times; each accepted request halves the next delay. A runner that refuses a third
+ * of its requests is hardly ever in backoff; one that refuses nine of ten mostly is, although it
+ * has the least load and would be picked first.
  *
  * Contract: pure; not thread-safe; O(1).
  */
@@ -21,12 +22,13 @@
 
     void recordRefusal(TimePoint now);
     void recordAccepted();
+    /** True while the runner should be picked only if no better one is left. */
     bool isBackingOff(TimePoint now) const;
-    /** It has refused more than it took lately, so a request that was refused before goes elsewhere if it can. */
+    /** True if recent refusals outnumber accepted requests; a request that is being retried then prefers another runner. */
     bool hasRecentRefusals() const;
 
 private:
-    unsigned m_level = 0;
+    unsigned m_level = 0; ///< doublings of the next delay
     TimePoint m_until{};
 };
 
--- a/fulmarlink/retryafterpacer.cpp
+++ b/fulmarlink/retryafterpacer.cpp
@@ -8,14 +8,14 @@
 namespace
 {
 
-constexpr double kLeastPerSecond = 0.01;
-constexpr double kJitter = 0.1; ///< several hosts send callers away at once
+constexpr double kMinPerSecond = 0.01;
+constexpr double kJitter = 0.1; ///< relative; spreads out callers that several hosts reject at the same time
 
 } // namespace
 
 Duration RetryAfterPacer::nextDelay(double perSecond, Duration soonest, TimePoint now, Random &random)
 {
-    const auto spacing = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / std::max(perSecond, kLeastPerSecond)));
+    const auto spacing = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / std::max(perSecond, kMinPerSecond)));
     m_last = std::min(std::max(m_last, now + soonest) + spacing, now + kMaxDelay);
     const double jitter = std::uniform_real_distribution<double>(1 - kJitter, 1 + kJitter)(random);
     return std::chrono::duration_cast<Duration>((m_last - now) * jitter);
--- a/fulmarlink/retryafterpacer.h
+++ b/fulmarlink/retryafterpacer.h
@@ -6,22 +6,26 @@
 {
 
 /**
- * When callers that were sent away for want of room may come back: one after the other, as
- * fast as there is room, so that they don't return together and are sent away again.
+ * Computes the retry delay for callers that are rejected for lack of capacity. Successive callers
+ * get successive times, spaced at the rate at which capacity becomes free, so that they don't all
+ * return at once and get rejected again.
  *
  * Contract: pure; not thread-safe; O(1).
  */
 class RetryAfterPacer
 {
 public:
-    /** Callers that are told of a later time have mostly given up by then, and their places are free again. */
+    /** Upper bound before jitter. Callers that are given a longer delay have mostly given up by then, so their places are free again. */
     static constexpr Duration kMaxDelay = std::chrono::seconds(10);
 
-    /** For the next caller, where @p perSecond of them find room and the first one no sooner than @p soonest from now. */
+    /**
+     * The delay for the next caller. Capacity frees up for @p perSecond callers a second, and for the first
+     * one no sooner than @p soonest from now.
+     */
     Duration nextDelay(double perSecond, Duration soonest, TimePoint now, Random &random);
 
 private:
-    TimePoint m_last{};
+    TimePoint m_last{}; ///< return time given to the last caller, before jitter
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/retrybudget.h
+++ b/fulmarlink/retrybudget.h
@@ -6,15 +6,15 @@
 {
 
 /**
- * Bounds the retries of one entry host to a share of its first attempts, so that
- * retries can't multiply an overload. Since every entry obeys the same share, the
- * whole system does too: agents and engines never retry by themselves.
+ * Limits the retries of one entry host to a share of its first attempts, so that retries can't
+ * multiply an overload. Every entry host applies the same share and agents and engines never retry
+ * by themselves, so the share holds for the whole system too.
  *
- * How to use: countFirstAttempt() for each new request; a retry is sent only if takeRetry()
- * gives true. Early refusals by an agent that never reached an engine cost
- * kRefusalCost of a retry, since they spend no runner time.
+ * Usage: call countFirstAttempt() for each new request, and send a retry only if takeRetry()
+ * returns true. An early refusal by an agent, which never reached an engine, costs only
+ * kRefusalCost of a retry, since it used no runner time.
  *
- * Contract: thread-safe, O(1). Over any span in which n first attempts came, at most
+ * Contract: thread-safe, O(1). Over any span with n first attempts, at most
  * share * n + kMaxBalance retries are allowed.
  */
 class RetryBudget
--- a/fulmarlink/servicetime.h
+++ b/fulmarlink/servicetime.h
@@ -7,12 +7,12 @@
 namespace fulmarlink
 {
 
-/** How long a pool's runners take for one request, as a moving mean of the newest ones. Not thread-safe. */
+/** Exponential moving average of the time that a pool's runners take for one request. Not thread-safe. */
 class ServiceTime
 {
 public:
-    static constexpr Duration kInitialEstimate = std::chrono::milliseconds(100); ///< assumed before the first one has ended
-    static constexpr int kMeanWindow = 16; ///< requests that the mean reaches back
+    static constexpr Duration kInitialEstimate = std::chrono::milliseconds(100); ///< used until the first request has ended
+    static constexpr int kMeanWindow = 16; ///< requests; each one has a weight of 1 / kMeanWindow
 
     void record(Duration time)
     {
--- a/fulmarlink/slottable.cpp
+++ b/fulmarlink/slottable.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr std::uint64_t kSecondSeed = 0x9e3779b97f4a7c15;
+constexpr std::uint64_t kLowHashSeed = 0x9e3779b97f4a7c15;
 
 bool parseOwner(const boost::json::value &value, SlotOwner &owner)
 {
@@ -41,7 +41,7 @@
 KeyHash hashKey(std::string_view customer, std::string_view key)
 {
     const std::uint64_t seed = hashOf(customer);
-    return {hashOf(key, seed), hashOf(key, seed ^ kSecondSeed)};
+    return {hashOf(key, seed), hashOf(key, seed ^ kLowHashSeed)};
 }
 
 SlotTable::SlotTable()
--- a/fulmarlink/slottable.h
+++ b/fulmarlink/slottable.h
@@ -11,7 +11,7 @@
 namespace fulmarlink
 {
 
-/** An idempotency key together with its customer, as two hashes. */
+/** 128-bit hash of an idempotency key and its customer. */
 struct KeyHash {
     std::uint64_t high = 0;
     std::uint64_t low = 0;
@@ -27,28 +27,27 @@
 
 KeyHash hashKey(std::string_view customer, std::string_view key);
 
-/** Who is home of one share of all idempotency keys. */
+/** The entry host that owns one slot, a fixed share of all idempotency keys. */
 struct SlotOwner {
-    std::string name; ///< host name of an entry; empty: nobody has been yet
+    std::string name; ///< host name of the entry; empty: the slot has never had an owner
     std::uint64_t incarnation = 0;
-    std::uint64_t term = 0; ///< rises with each change of owner; fencing number of the slot
-    bool clean = true; ///< false: the former owner's memory was lost
+    std::uint64_t term = 0; ///< fencing token of the slot; rises with each change of owner
+    bool clean = true; ///< false: the previous owner's in-memory key records were lost
 };
 
 /**
- * The document that says which entry host is home of which idempotency keys. It is
- * one object in the object API, changed by conditional update only, so that all
- * nodes agree on the order of owners.
+ * Assigns each slot of idempotency keys to an entry host. The table is stored as one object in the
+ * object API and changed only by conditional update, so that all nodes see the same sequence of owners.
  */
 struct SlotTable {
     static constexpr std::uint32_t kSlots = 64;
-    std::uint64_t version = 0; ///< of the object
-    std::vector<SlotOwner> owners; ///< kSlots of them
+    std::uint64_t version = 0; ///< of the stored object
+    std::vector<SlotOwner> owners; ///< indexed by slot; kSlots entries
 
     SlotTable();
     static std::uint32_t slotOf(const KeyHash &key);
     std::string serialize() const;
-    /** Leaves the table as it was on an error. */
+    /** Replaces the table by the parsed one; leaves it unchanged on an error. */
     std::error_code parse(std::string_view text, std::uint64_t version);
 };
 
--- a/fulmarlink/windowbudget.cpp
+++ b/fulmarlink/windowbudget.cpp
@@ -26,8 +26,8 @@
 bool WindowBudget::canTakeRepeat(TimePoint now)
 {
     expire(now);
-    const double shared = m_options.slack / std::max(1U, m_options.entries);
-    const double allowed = kUsableShare * (m_options.ratio * static_cast<double>(m_requests.size()) + shared);
+    const double slackPerEntry = m_options.slack / std::max(1U, m_options.entries);
+    const double allowed = kUsableShare * (m_options.ratio * static_cast<double>(m_requests.size()) + slackPerEntry);
     return static_cast<double>(m_repeats.size()) + 1 <= allowed || mutated(Mutation::UnboundedRepeats);
 }
 
--- a/fulmarlink/windowbudget.h
+++ b/fulmarlink/windowbudget.h
@@ -9,21 +9,21 @@
 
 struct WindowBudgetOptions {
     Duration window = std::chrono::seconds(10);
-    double ratio = 0.2; ///< repeats allowed for each request of the window
-    double slack = 10; ///< and this many more, over all entries
+    double ratio = 0.2; ///< repeats allowed for each request in the window
+    double slack = 10; ///< further repeats allowed in the window, over all entries
     unsigned entries = 5; ///< entries that share the slack
 };
 
 /**
- * Bounds the repeats that one entry sends to a pool within any sliding window.
+ * Limits the repeats that one entry sends to a pool in any sliding window.
  *
- * Each entry keeps to the ratio of its own requests and to its part of the slack, so the
- * sum over all entries keeps to the ratio and the slack without a message between them.
- * kUsableShare leaves the rest of both for entries that have just been restarted and have
- * forgotten what they sent.
+ * Each entry keeps to the ratio of its own requests and to its part of the slack, so the sum over
+ * all entries keeps to the ratio and the slack without any communication between them. An entry
+ * uses only kUsableShare of both; the rest covers entries that have just restarted and no longer
+ * know what they sent.
  *
- * Contract: in any window the repeats granted are at most kUsableShare x (ratio x requests
- * of that window + slack / entries). O(1) amortised; not thread-safe.
+ * Contract: in any window the repeats granted are at most
+ * kUsableShare * (ratio * requests of that window + slack / entries). O(1) amortised; not thread-safe.
  */
 class WindowBudget
 {
@@ -34,9 +34,9 @@
 
     void setOptions(WindowBudgetOptions options);
     void countRequest(TimePoint now);
-    /** True if one more repeat would keep the bound now. */
+    /** Returns whether one more repeat at @p now is within the bound. */
     bool canTakeRepeat(TimePoint now);
-    /** True, and counted, if one more repeat keeps the bound. */
+    /** Counts one more repeat and returns true if it is within the bound. */
     bool takeRepeat(TimePoint now);
 
 private:
