--- a/testing/livehosts_test.cpp
+++ b/testing/livehosts_test.cpp
@@ -12,24 +12,24 @@
 
 } // namespace
 
-TEST(LiveHosts, WhoRenewsItsRecordLivesAndWhoDoesNotIsGoneAfterAFewReadings)
+TEST(LiveHosts, AHostThatStopsRenewingItsRecordIsGoneAfterTheLimitOfUnchangedReads)
 {
     LiveHosts hosts;
-    for (std::uint64_t reading = 1; reading <= LiveHosts::kUnchangedReadsUntilGone; ++reading) {
-        hosts.recordRead({{"a", 10 + reading}, {"b", 7}});
-        EXPECT_EQ(hosts.hosts(), Names({"a", "b"})) << reading;
+    for (std::uint64_t round = 1; round <= LiveHosts::kUnchangedReadsUntilGone; ++round) {
+        hosts.recordRead({{"a", 10 + round}, {"b", 7}});
+        EXPECT_EQ(hosts.hosts(), Names({"a", "b"})) << round;
     }
     hosts.recordRead({{"a", 20}, {"b", 7}});
     EXPECT_EQ(hosts.hosts(), Names({"a"}));
     hosts.recordRead({{"a", 21}, {"b", 22}});
-    EXPECT_EQ(hosts.hosts(), Names({"a", "b"})) << "it is back";
+    EXPECT_EQ(hosts.hosts(), Names({"a", "b"})) << "b renewed its record again";
 }
 
-TEST(LiveHosts, NobodyIsGoneBecauseTheStoreWasAway)
+TEST(LiveHosts, StoreOutagesDoNotRemoveHosts)
 {
     LiveHosts hosts;
     for (unsigned outage = 0; outage < 10; ++outage) {
-        for (unsigned reading = 1; reading < LiveHosts::kUnchangedReadsUntilGone; ++reading) {
+        for (unsigned round = 1; round < LiveHosts::kUnchangedReadsUntilGone; ++round) {
             hosts.recordRead({{"a", 1}});
         }
         hosts.recordFailedRead();
@@ -37,37 +37,37 @@
     EXPECT_EQ(hosts.hosts(), Names({"a"}));
 }
 
-TEST(LiveHosts, AnOutageBringsNobodyBackWhoWasGoneBefore)
+TEST(LiveHosts, AnOutageDoesNotRestoreAHostThatWasGoneBefore)
 {
     LiveHosts hosts;
-    for (unsigned reading = 0; reading <= LiveHosts::kUnchangedReadsUntilGone; ++reading) {
-        hosts.recordRead({{"a", 100 + reading}, {"b", 1}});
+    for (unsigned round = 0; round <= LiveHosts::kUnchangedReadsUntilGone; ++round) {
+        hosts.recordRead({{"a", 100 + round}, {"b", 1}});
     }
     hosts.recordFailedRead();
     hosts.recordRead({{"a", 200}, {"b", 1}});
     EXPECT_EQ(hosts.hosts(), Names({"a"}));
 }
 
-TEST(LiveHosts, ReadingsInBetweenFindNewHostsAndMissNone)
+TEST(LiveHosts, IntermediateReadsAddNewHostsAndRemoveNone)
 {
     LiveHosts hosts;
     hosts.recordRead({{"a", 1}});
-    for (unsigned reading = 0; reading < 3 * LiveHosts::kUnchangedReadsUntilGone; ++reading) {
+    for (unsigned round = 0; round < 3 * LiveHosts::kUnchangedReadsUntilGone; ++round) {
         hosts.recordIntermediateRead({{"a", 1}, {"b", 2}});
     }
     EXPECT_EQ(hosts.hosts(), Names({"a", "b"}));
 }
 
-TEST(LiveHosts, AHostOfAVersionThatWritesOnceCountsAsLiving)
+TEST(LiveHosts, AHostWhoseVersionWritesItsRecordOnceStaysAlive)
 {
     LiveHosts hosts;
-    for (std::uint64_t reading = 0; reading < 3 * LiveHosts::kUnchangedReadsUntilGone; ++reading) {
-        hosts.recordRead({{"a", 100 + reading}, {"b", 1, false}});
+    for (std::uint64_t round = 0; round < 3 * LiveHosts::kUnchangedReadsUntilGone; ++round) {
+        hosts.recordRead({{"a", 100 + round}, {"b", 1, false}});
     }
     EXPECT_EQ(hosts.hosts(), Names({"a", "b"}));
 }
 
-TEST(LiveHosts, ARecordThatWasRemovedIsNoHost)
+TEST(LiveHosts, AHostWhoseRecordWasRemovedIsGone)
 {
     LiveHosts hosts;
     hosts.recordRead({{"a", 1}, {"b", 2}});
--- a/testing/refusalbackoff_test.cpp
+++ b/testing/refusalbackoff_test.cpp
@@ -1,5 +1,5 @@
-// Runners that turn requests away although they have slots free, and name no time. Load pattern: half of a pool's runners turn away
-// nine of ten requests; they have nothing in progress and look the least loaded.
+// Runners that refuse requests although they have free slots, and give no retry time. Load pattern: half of a pool's runners
+// refuse nine of ten requests. They have nothing in progress, so least-loaded selection prefers them.
 
 #include <array>
 #include <gtest/gtest.h>
@@ -20,29 +20,29 @@
 constexpr unsigned kRunners = 16;
 constexpr unsigned kSlots = 12;
 
-struct Played {
-    unsigned arrivals = 0;
-    unsigned refused = 0; ///< of them
-    unsigned unserved = 0; ///< requests that four sends could not place
+struct SimulationResult {
+    unsigned sends = 0; ///< including retries
+    unsigned refused = 0; ///< sends that were refused
+    unsigned unserved = 0; ///< requests that were refused four times
 };
 
-std::string name(unsigned runner)
+std::string runnerId(unsigned runner)
 {
     return "i-" + std::to_string(runner);
 }
 
-/** One host sends a request each 20 ms for 10 s; the first @p refusing runners turn away @p share of theirs. */
-Played play(unsigned refusing, double share)
+/** One host sends a request every 20 ms for 10 s; the first @p refusing runners refuse a share of @p share of their requests. */
+SimulationResult simulate(unsigned refusing, double share)
 {
     Random random(7);
     TargetTable table({});
     std::vector<TargetInfo> list;
     for (unsigned i = 0; i < kRunners; ++i) {
-        list.push_back({.id = name(i), .pool = "p", .address = {}, .zone = {}, .slots = kSlots});
+        list.push_back({.id = runnerId(i), .pool = "p", .address = {}, .zone = {}, .slots = kSlots});
     }
     table.setTargets(list, kStart);
     std::multimap<TimePoint, std::string> running;
-    Played result;
+    SimulationResult result;
     for (TimePoint now = kStart; now < kStart + 10s; now += 20ms) {
         while (!running.empty() && running.begin()->first <= now) {
             table.ended(running.begin()->second);
@@ -52,7 +52,7 @@
         bool served = false;
         while (!served && tried.size() < 4) {
             const TargetInfo *target = table.pick("p", tried, now, random);
-            ++result.arrivals;
+            ++result.sends;
             tried.insert(target->id);
             const bool refuses = std::stoul(target->id.substr(2)) < refusing && std::bernoulli_distribution(share)(random);
             if (refuses) {
@@ -72,7 +72,7 @@
 
 } // namespace
 
-TEST(RefusalBackoff, EachRefusalDoublesThePauseAndEachRequestTakenHalvesTheNext)
+TEST(RefusalBackoff, EachRefusalDoublesTheDelayAndEachAcceptedRequestHalvesTheNext)
 {
     RefusalBackoff backoff;
     EXPECT_FALSE(backoff.hasRecentRefusals());
@@ -87,50 +87,50 @@
     for (unsigned i = 0; i < 100; ++i) {
         backoff.recordRefusal(kStart + 2s);
     }
-    EXPECT_FALSE(backoff.isBackingOff(kStart + 2s + RefusalBackoff::kInitialDelay * 16)) << "no longer than this";
+    EXPECT_FALSE(backoff.isBackingOff(kStart + 2s + RefusalBackoff::kInitialDelay * 16)) << "the delay is capped";
 }
 
-// Guards against work that goes to the runners that refuse it, since they look the least loaded.
-TEST(RefusalBackoff, MostRequestsGoToTheRunnersThatTakeThem)
+// Guards against least-loaded selection that keeps sending to the runners that refuse, since they have no load.
+TEST(RefusalBackoff, MostRequestsGoToTheRunnersThatAcceptThem)
 {
-    const Played half = play(kRunners / 2, 0.9);
+    const SimulationResult half = simulate(kRunners / 2, 0.9);
     EXPECT_EQ(half.unserved, 0U);
-    EXPECT_LE(half.refused, half.arrivals / 5);
-    const Played few = play(2, 1);
+    EXPECT_LE(half.refused, half.sends / 5);
+    const SimulationResult few = simulate(2, 1);
     EXPECT_EQ(few.unserved, 0U);
-    EXPECT_LE(few.refused, few.arrivals / 20);
+    EXPECT_LE(few.refused, few.sends / 20);
 }
 
-// Guards against runners that are left out for refusing now and then.
-TEST(RefusalBackoff, ARunnerThatTurnsAwayAThirdKeepsMostOfItsPart)
+// Guards against excluding runners that refuse only some of their requests.
+TEST(RefusalBackoff, RunnersThatRefuseAThirdKeepMostOfTheirShare)
 {
-    const Played played = play(kRunners, 0.3);
-    EXPECT_LE(played.unserved, 15U) << "0.3 to the fourth of 500 is 4";
-    EXPECT_LE(played.arrivals, 500 * 1.6) << "1.43 sends each";
+    const SimulationResult result = simulate(kRunners, 0.3);
+    EXPECT_LE(result.unserved, 15U) << "expected: 0.3^4 * 500 = 4";
+    EXPECT_LE(result.sends, 500 * 1.6) << "expected: 1 / 0.7 = 1.43 sends a request";
 }
 
-TEST(RefusalBackoff, WhereAllTurnMostAwayRequestsAreTriedAllTheSame)
+TEST(RefusalBackoff, RequestsAreStillSentWhenAllRunnersRefuseMostOfThem)
 {
-    const Played played = play(kRunners, 0.8);
-    EXPECT_LE(played.unserved, 500 * 0.5) << "0.41 by chance";
+    const SimulationResult result = simulate(kRunners, 0.8);
+    EXPECT_LE(result.unserved, 500 * 0.5) << "expected: 0.8^4 = 0.41 of the requests";
 }
 
-TEST(RefusalBackoff, ARunnerWhoseSlotsAreFullIsNotToBlame)
+TEST(RefusalBackoff, ARefusalByARunnerWithoutFreeCapacityIsNotCounted)
 {
     TargetTable table({});
     table.setTargets({{.id = "i-0", .pool = "p", .address = {}, .zone = {}, .slots = kSlots}}, kStart);
     EXPECT_FALSE(table.refused("i-0", TargetLoad{kSlots, 0}, kStart));
-    EXPECT_FALSE(table.refused("i-0", TargetLoad{3, 1}, kStart)) << "memory is full";
-    EXPECT_FALSE(table.refused("i-0", std::nullopt, kStart)) << "it does not say";
+    EXPECT_FALSE(table.refused("i-0", TargetLoad{3, 1}, kStart)) << "its memory is full";
+    EXPECT_FALSE(table.refused("i-0", std::nullopt, kStart)) << "it reports no load";
     EXPECT_FALSE(table.refused("i-1", TargetLoad{}, kStart)) << "it is not listed";
     EXPECT_TRUE(table.refused("i-0", TargetLoad{3, 0}, kStart));
 }
 
-TEST(RefusalBackoffMutation, ATableThatForgetsRefusalsIsCaught)
+TEST(RefusalBackoffMutation, IgnoringRefusalsFailsTheRefusalBound)
 {
     const ScopedMutation scoped(Mutation::ForgetRefusals);
-    const Played half = play(kRunners / 2, 0.9);
-    EXPECT_GT(half.refused, half.arrivals / 5);
+    const SimulationResult half = simulate(kRunners / 2, 0.9);
+    EXPECT_GT(half.refused, half.sends / 5);
 }
 
 } // namespace fulmarlink::testing
--- a/testing/retryafterpacer_test.cpp
+++ b/testing/retryafterpacer_test.cpp
@@ -1,4 +1,4 @@
-// Callers that are sent away while the only runners left take so many requests a second.
+// Callers that are rejected while the remaining runners accept a limited number of requests a second.
 
 #include "fulmarlink/retryafterpacer.h"
 
@@ -17,26 +17,26 @@
 
 } // namespace
 
-TEST(RetryAfterPacer, ACrowdThatIsSentAwayAtOnceReturnsAsFastAsThereIsRoom)
+TEST(RetryAfterPacer, CallersRejectedAtTheSameTimeReturnAtTheRateOfFreeCapacity)
 {
     RetryAfterPacer pacer;
     Random random(1);
-    std::vector<double> returns;
+    std::vector<double> delays;
     for (unsigned i = 0; i < 36; ++i) {
-        returns.push_back(std::chrono::duration<double>(pacer.nextDelay(4, 0s, kStart, random)).count());
+        delays.push_back(std::chrono::duration<double>(pacer.nextDelay(4, 0s, kStart, random)).count());
     }
-    EXPECT_NEAR(returns.front(), 0.25, 0.03);
-    EXPECT_NEAR(returns.back(), 9, 0.91);
+    EXPECT_NEAR(delays.front(), 0.25, 0.03);
+    EXPECT_NEAR(delays.back(), 9, 0.91);
 }
 
-TEST(RetryAfterPacer, NobodyIsToldToComeBackBeforeThereIsRoom)
+TEST(RetryAfterPacer, NoDelayEndsBeforeCapacityIsFree)
 {
     RetryAfterPacer pacer;
     Random random(1);
     EXPECT_GE(pacer.nextDelay(1, 3s, kStart, random), 3s);
 }
 
-TEST(RetryAfterPacer, AfterAQuietTimeTheNextCallerWaitsForOnePlaceOnly)
+TEST(RetryAfterPacer, AfterAnIdlePeriodTheNextCallerWaitsForOneInterval)
 {
     RetryAfterPacer pacer;
     Random random(1);
@@ -46,7 +46,7 @@
     EXPECT_LE(pacer.nextDelay(1, 0s, kStart + 60s, random), 1200ms);
 }
 
-TEST(RetryAfterPacer, TimesAreBoundedHoweverManyComeAndHoweverLittleRoomThereIs)
+TEST(RetryAfterPacer, DelaysAreBoundedForAnyNumberOfCallersAndAnyCapacity)
 {
     RetryAfterPacer pacer;
     Random random(1);
--- a/testing/sumoverhosts_test.cpp
+++ b/testing/sumoverhosts_test.cpp
@@ -1,6 +1,6 @@
-// Bounds that a receiver feels as the sum over all hosts, while each host holds them alone:
-// connections that a runner takes, and writes that the store takes. The same cause as that of
-// runners that got more requests a second than they had named.
+// Limits that each host enforces on its own but that apply to the sum over all hosts: the connections
+// open to a runner and the writes to the store. Enforcing a limit per host instead of over all hosts
+// also sent runners more requests a second than the limit that they had reported.
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -17,8 +17,8 @@
 
 constexpr unsigned kHosts = 16;
 
-/** Sends @p requests at once, to each host in turn, and waits until all are answered. */
-void crowd(GatewayFleet &fleet, unsigned requests)
+/** Sends @p requests requests at once, to the hosts in turn, and waits until all are answered. */
+void sendBurst(GatewayFleet &fleet, unsigned requests)
 {
     std::vector<std::shared_ptr<bool>> done;
     for (unsigned i = 0; i < requests; ++i) {
@@ -36,30 +36,30 @@
 
 } // namespace
 
-TEST(SumOverHosts, ConnectionsKeptToARunnerAreNoMoreThanItTakes)
+TEST(SumOverHosts, IdleConnectionsToARunnerStayWithinItsLimitOverAllHosts)
 {
-    constexpr unsigned kMost = 40;
-    GatewayFleet fleet({.gateways = kHosts, .runners = 2, .maxConnections = kMost, .work = 100ms});
+    constexpr unsigned kMaxConnections = 40;
+    GatewayFleet fleet({.gateways = kHosts, .runners = 2, .maxConnections = kMaxConnections, .work = 100ms});
     ASSERT_TRUE(fleet.start());
-    fleet.run(2000ms); // until the hosts know of each other
+    fleet.run(2000ms); // until the hosts have discovered each other
     for (unsigned round = 0; round < 3; ++round) {
-        crowd(fleet, kHosts * 12);
+        sendBurst(fleet, kHosts * 12);
     }
     fleet.run(500ms);
     for (unsigned i = 0; i < 2; ++i) {
-        EXPECT_LE(fleet.runner(i).openConnections(), kMost);
-        EXPECT_GE(fleet.runner(i).openConnections(), 8U) << "some are kept for the next requests";
+        EXPECT_LE(fleet.runner(i).openConnections(), kMaxConnections);
+        EXPECT_GE(fleet.runner(i).openConnections(), 8U) << "idle connections are kept for later requests";
     }
 }
 
-TEST(SumOverHosts, RunnersThatNameAnotherLimitInEachAnswerCostTheStoreABoundedNumberOfWrites)
+TEST(SumOverHosts, StoreWritesAreBoundedWhenRunnersChangeTheirLimitInEachAnswer)
 {
     constexpr unsigned kRunners = 12;
-    constexpr double kMostWrites = 100; ///< a second; a quarter of what a small store takes
+    constexpr double kMaxWrites = 100; ///< a second; a quarter of the capacity of a small store
     GatewayFleet fleet({.gateways = kHosts, .runners = kRunners});
     ASSERT_TRUE(fleet.start());
     fleet.run(2000ms);
-    const auto turn = [&fleet](unsigned round) {
+    const auto sendRound = [&fleet](unsigned round) {
         for (unsigned i = 0; i < kRunners; ++i) {
             fleet.runner(i).limit = std::to_string(900 - round % 400);
         }
@@ -70,16 +70,16 @@
     };
     unsigned round = 0;
     for (; round < 25; ++round) {
-        turn(round);
+        sendRound(round);
     }
     const unsigned before = fleet.store.writes;
-    const auto began = std::chrono::steady_clock::now();
+    const auto start = std::chrono::steady_clock::now();
     for (; round < 125; ++round) {
-        turn(round);
+        sendRound(round);
     }
-    const double passed = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-    EXPECT_LE((fleet.store.writes - before) / passed, kMostWrites);
-    EXPECT_GE(fleet.count("fulmarlink_limited_runners"), kHosts * kRunners) << "they are known all the same";
+    const double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
+    EXPECT_LE((fleet.store.writes - before) / seconds, kMaxWrites);
+    EXPECT_GE(fleet.count("fulmarlink_limited_runners"), kHosts * kRunners) << "every host still knows the limited runners";
 }
 
 } // namespace fulmarlink::testing
--- a/testing/windowbudget_test.cpp
+++ b/testing/windowbudget_test.cpp
@@ -1,4 +1,4 @@
-// Load pattern: callers that repeat at once, all entries full of failures at the same time.
+// Load pattern: callers repeat failed requests at once, and all entries see failures at the same time.
 
 #include "fulmarlink/windowbudget.h"
 
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST(WindowBudget, GrantsOverAllEntriesStayWithinTheBoundOfEveryWindow)
+TEST(WindowBudget, RepeatsGrantedByAllEntriesStayWithinTheBoundInEveryWindow)
 {
     rc::check([] {
         constexpr unsigned kEntries = 5;
@@ -47,7 +47,7 @@
                 return time > end - 10'000 && time <= end;
             };
             const auto granted = static_cast<double>(std::ranges::count_if(repeats, within));
-            // requests of the window before count too, as each entry granted by its own window
+            // The requests of the preceding window count too, since each entry grants repeats by its own window.
             const auto asked = static_cast<double>(std::ranges::count_if(requests, [end](int time) {
                 return time > end - 20'000 && time <= end;
             }));
@@ -56,7 +56,7 @@
     });
 }
 
-TEST(WindowBudget, AFreshEntryHasOnlyItsPartOfTheSlack)
+TEST(WindowBudget, AnEntryWithoutRequestsGetsOnlyItsPartOfTheSlack)
 {
     WindowBudget budget({.window = seconds(10), .ratio = 0.2, .slack = 80, .entries = 16});
     unsigned granted = 0;
