--- a/fulmarlink/enginemodel.cpp
+++ b/fulmarlink/enginemodel.cpp
@@ -18,16 +18,16 @@
 
 } // namespace
 
-Duration passLength(const EngineSpec &engine, const PassLoad &load)
+Duration passDuration(const EngineSpec &engine, const PassLoad &load)
 {
     const double perWriter = engine.perSequenceMs + engine.contextPerThousandMs * load.contextTokens / 1000;
-    const double writing = load.writers > 0 ? engine.stride * (engine.stepMs + perWriter * load.writers) : engine.stepMs;
+    const double writing = load.decodingRequests > 0 ? engine.stride * (engine.stepMs + perWriter * load.decodingRequests) : engine.stepMs;
     const double reading = engine.readTokensPerMs > 0 ? load.promptTokens / engine.readTokensPerMs : 0;
     const double ms = (writing + reading) * stretch(engine, load.imbalance);
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(ms));
 }
 
-Duration copyLength(const EngineSpec &engine, unsigned copies)
+Duration copyDuration(const EngineSpec &engine, unsigned copies)
 {
     constexpr double kMegabitsPerMegabyte = 8;
     constexpr double kMargin = 1.03; ///< of a link that is not quite free
@@ -37,11 +37,11 @@
 
 unsigned copiesWithin(const EngineSpec &engine, Duration budget)
 {
-    const Duration one = std::max(Duration(1), copyLength(engine, 1));
+    const Duration one = std::max(Duration(1), copyDuration(engine, 1));
     return static_cast<unsigned>(std::max<Duration::rep>(1, (budget + one / 2) / one));
 }
 
-double passRatio(const EngineSpec &engine, double from, double to)
+double passDurationRatio(const EngineSpec &engine, double from, double to)
 {
     return stretch(engine, to) / stretch(engine, from);
 }
--- a/fulmarlink/enginemodel.h
+++ b/fulmarlink/enginemodel.h
@@ -9,7 +9,7 @@
 
 /** What the ranks of a group have to do in one pass. */
 struct PassLoad {
-    double writers = 0; ///< requests of a rank that produce tokens
+    double decodingRequests = 0; ///< requests of a rank that produce tokens
     double promptTokens = 0; ///< that a rank reads
     double contextTokens = 0; ///< of a writer, on average
     double imbalance = 1; ///< tokens of the busiest rank's experts over the mean, averaged over the sets
@@ -24,15 +24,15 @@
  *
  * Pure.
  */
-Duration passLength(const EngineSpec &engine, const PassLoad &load);
+Duration passDuration(const EngineSpec &engine, const PassLoad &load);
 
 /** How long a rank copies @p copies experts that are new to it, one after the other. */
-Duration copyLength(const EngineSpec &engine, unsigned copies);
+Duration copyDuration(const EngineSpec &engine, unsigned copies);
 
 /** Experts whose copies take about @p budget, to the nearest; at least one. */
 unsigned copiesWithin(const EngineSpec &engine, Duration budget);
 
 /** How many times longer a pass becomes when the imbalance goes from @p from to @p to with the same work. */
-double passRatio(const EngineSpec &engine, double from, double to);
+double passDurationRatio(const EngineSpec &engine, double from, double to);
 
 } // namespace fulmarlink
--- a/fulmarlink/expertload.cpp
+++ b/fulmarlink/expertload.cpp
@@ -23,27 +23,27 @@
         for (std::size_t expert = 0; expert < now.size() && expert < then.size(); ++expert) {
             const double chosen = now[expert] >= then[expert] ? static_cast<double>(now[expert] - then[expert]) : static_cast<double>(now[expert]);
             m_difference[set][expert] += chosen;
-            m_gathered += chosen;
+            m_pendingChoices += chosen;
         }
     }
 }
 
 std::vector<std::vector<double>> ExpertLoad::take()
 {
-    m_gathered = 0;
+    m_pendingChoices = 0;
     return std::exchange(m_difference, {});
 }
 
-double ExpertLoad::gathered() const
+double ExpertLoad::pendingChoices() const
 {
-    return m_gathered;
+    return m_pendingChoices;
 }
 
 void ExpertLoad::clear()
 {
     m_last.clear();
     m_difference.clear();
-    m_gathered = 0;
+    m_pendingChoices = 0;
 }
 
 } // namespace fulmarlink
--- a/fulmarlink/expertload.h
+++ b/fulmarlink/expertload.h
@@ -25,13 +25,13 @@
     /** What was chosen between the last two reads, by set, by expert; empty before two reads of one rank. */
     std::vector<std::vector<double>> take();
     /** Choices in the differences gathered and not taken yet. */
-    double gathered() const;
+    double pendingChoices() const;
     void clear();
 
 private:
     std::map<std::string, ExpertCountsRead> m_last;
     std::vector<std::vector<double>> m_difference;
-    double m_gathered = 0;
+    double m_pendingChoices = 0;
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/expertmap.cpp
+++ b/fulmarlink/expertmap.cpp
@@ -73,7 +73,7 @@
     return copies;
 }
 
-bool validLayer(const LayerMap &map, unsigned experts)
+bool isValidLayer(const LayerMap &map, unsigned experts)
 {
     const bool known = std::ranges::all_of(map.slots, [experts](ExpertId expert) {
         return expert < experts;
--- a/fulmarlink/expertmap.h
+++ b/fulmarlink/expertmap.h
@@ -46,6 +46,6 @@
 unsigned copiesBetween(const LayerMap &from, const LayerMap &to);
 
 /** True if every expert has a slot and every slot a valid expert. */
-bool validLayer(const LayerMap &map, unsigned experts);
+bool isValidLayer(const LayerMap &map, unsigned experts);
 
 } // namespace fulmarlink
--- a/fulmarlink/expertmapcontroller.cpp
+++ b/fulmarlink/expertmapcontroller.cpp
@@ -220,11 +220,11 @@
     const std::optional<Duration> baseline = m_shiftDetector.baselineInterval();
     co_await readCounts(); // start of the window
     m_load.take();
-    for (unsigned passes = 0; passes < kMaxWindowPasses && m_load.gathered() < kMinRoutingChoices; ++passes) {
+    for (unsigned passes = 0; passes < kMaxWindowPasses && m_load.pendingChoices() < kMinRoutingChoices; ++passes) {
         co_await waitForNextPass();
         co_await readCounts();
     }
-    if (!m_mapKnown || m_load.gathered() < kMinRoutingChoices) {
+    if (!m_mapKnown || m_load.pendingChoices() < kMinRoutingChoices) {
         co_return;
     }
     const auto load = m_load.take();
@@ -237,17 +237,17 @@
     const double minImprovement = m_state.settings.leastImprovement * m_state.settings.costWeight / std::max(kMinWeight, m_state.settings.skewWeight);
     for (const Duration budget : {Duration(m_state.settings.firstCopies), Duration(m_state.settings.copies)}) {
         ExpertPlan plan = co_await computePlan(load, budget);
-        if (plan.before - plan.after < minImprovement) {
+        if (plan.imbalanceBefore - plan.imbalanceAfter < minImprovement) {
             const bool changed = co_await refreshSlowRanks(); // the map fits the demand, but passes are still long
             if (!changed) {
                 break;
             }
             plan = co_await computePlan(load, budget);
         }
-        if (plan.before - plan.after >= minImprovement) {
+        if (plan.imbalanceBefore - plan.imbalanceAfter >= minImprovement) {
             co_await applyPlan(plan);
         }
-        if (!m_mapKnown || !remainingCopiesNeeded(baseline, plan.after)) {
+        if (!m_mapKnown || !remainingCopiesNeeded(baseline, plan.imbalanceAfter)) {
             break;
         }
     }
@@ -260,7 +260,7 @@
     if (!baseline) {
         return true;
     }
-    const std::chrono::duration<double> expected = std::chrono::duration<double>(*baseline) * passRatio(m_engine, kTypicalImbalance, imbalance);
+    const std::chrono::duration<double> expected = std::chrono::duration<double>(*baseline) * passDurationRatio(m_engine, kTypicalImbalance, imbalance);
     return expected > std::chrono::duration<double>(target) * m_state.settings.restShare;
 }
 
@@ -268,10 +268,10 @@
 {
     const EngineSpec spec = m_engine;
     ExpertPlanOptions options;
-    options.placements = spec.placements;
-    options.newPerSwitch = spec.newPerSwitch;
-    options.paces = m_slowdowns;
-    options.newPerRank = copiesWithin(spec, copyBudget);
+    options.maxExpertsPerRank = spec.placements;
+    options.maxNewPerSet = spec.newPerSwitch;
+    options.slowdowns = m_slowdowns;
+    options.maxNewPerRank = copiesWithin(spec, copyBudget);
     ExpertPlanner planner(m_map, load, options);
     while (planner.improve(kPlannerBatch)) {
         co_await sleep(Duration(0)); // lets request handling run between batches
@@ -281,8 +281,8 @@
               {{"pool", m_pool},
                {"group", m_group},
                {"map", std::to_string(m_mapVersion)},
-               {"before", twoDecimals(plan.before)},
-               {"after", twoDecimals(plan.after)},
+               {"before", twoDecimals(plan.imbalanceBefore)},
+               {"after", twoDecimals(plan.imbalanceAfter)},
                {"copies", std::to_string(plan.copies)}});
     co_return plan;
 }
@@ -321,7 +321,7 @@
 {
     const EngineSpec spec = m_engine;
     const std::uint64_t version = m_lease.termId() * kVersionsPerTerm + ++m_switchesBegun % kVersionsPerTerm;
-    const Duration copyTime = copyLength(spec, plan.mostCopies);
+    const Duration copyTime = copyDuration(spec, plan.maxRankCopies);
     co_await waitForLastSwitch();
     const TimePoint began = m_state.clock.now();
     m_switch.begin(static_cast<unsigned>(m_ranks.size()), m_mapEpoch, version, plan.map);
@@ -336,8 +336,8 @@
                {"map", std::to_string(version)},
                {"done", done ? "true" : "false"},
                {"phase", switchPhaseName(m_switch.phase())},
-               {"before", twoDecimals(plan.before)},
-               {"after", twoDecimals(plan.after)},
+               {"before", twoDecimals(plan.imbalanceBefore)},
+               {"after", twoDecimals(plan.imbalanceAfter)},
                {"copies", std::to_string(plan.copies)},
                {"pass", std::to_string(m_switch.pass())},
                {"copy_ms", std::to_string(copyTime.count() / 1000)},
--- a/fulmarlink/expertplanner.cpp
+++ b/fulmarlink/expertplanner.cpp
@@ -16,9 +16,9 @@
 
 using RankExperts = std::vector<std::vector<ExpertId>>;
 
-double paceOf(std::span<const double> paces, std::size_t rank)
+double slowdownOf(std::span<const double> slowdowns, std::size_t rank)
 {
-    return rank < paces.size() && !mutated(Mutation::IgnorePace) ? paces[rank] : 1;
+    return rank < slowdowns.size() && !mutated(Mutation::IgnorePace) ? slowdowns[rank] : 1;
 }
 
 bool contains(const std::vector<ExpertId> &list, ExpertId expert)
@@ -63,7 +63,7 @@
     {
         const auto busiest = static_cast<std::size_t>(std::ranges::max_element(m_loads) - m_loads.begin());
         const auto change = best(busiest);
-        const double least = std::max(m_loads[busiest] - m_mean, m_mean) * m_optionsOf.get().leastGain;
+        const double least = std::max(m_loads[busiest] - m_mean, m_mean) * m_optionsOf.get().minGain;
         m_exhausted = !change || change->relief < least;
         if (!m_exhausted) {
             apply(busiest, *change);
@@ -91,9 +91,9 @@
         return m_loadOf.get()[expert] / static_cast<double>(std::max<std::size_t>(1, m_holders[expert].size()));
     }
 
-    double pace(std::size_t rank) const
+    double slowdown(std::size_t rank) const
     {
-        return paceOf(m_optionsOf.get().paces, rank);
+        return slowdownOf(m_optionsOf.get().slowdowns, rank);
     }
 
     bool isNew(std::size_t rank, ExpertId expert) const
@@ -104,7 +104,7 @@
     bool mayAdd(std::size_t rank, ExpertId expert) const
     {
         return !contains(m_ranks[rank], expert)
-               && (!isNew(rank, expert) || (m_added[rank] < m_optionsOf.get().newPerSwitch && m_copiesOf.get()[rank] < m_optionsOf.get().newPerRank));
+               && (!isNew(rank, expert) || (m_added[rank] < m_optionsOf.get().maxNewPerSet && m_copiesOf.get()[rank] < m_optionsOf.get().maxNewPerRank));
     }
 
     static double square(double value)
@@ -150,7 +150,7 @@
         if (m_delta[rank] == 0) {
             m_touched.push_back(rank);
         }
-        m_delta[rank] += amount * pace(rank);
+        m_delta[rank] += amount * slowdown(rank);
     }
 
     /** Completes @p change by the shifts since m_touched was cleared. */
@@ -194,11 +194,11 @@
                 if (other == busiest || m_loads[other] >= m_loads[busiest] || !mayAdd(other, expert)) {
                     continue;
                 }
-                if (m_ranks[other].size() < m_optionsOf.get().placements) {
+                if (m_ranks[other].size() < m_optionsOf.get().maxExpertsPerRank) {
                     consider(replica(busiest, expert, other, std::nullopt), best);
                 }
                 for (const ExpertId there : m_ranks[other]) {
-                    if (m_holders[there].size() > 1 && m_ranks[other].size() >= m_optionsOf.get().placements) {
+                    if (m_holders[there].size() > 1 && m_ranks[other].size() >= m_optionsOf.get().maxExpertsPerRank) {
                         consider(replica(busiest, expert, other, there), best);
                     }
                     consider(exchange(busiest, expert, other, there), best);
@@ -247,7 +247,7 @@
         m_loads.assign(m_ranks.size(), 0);
         for (std::size_t rank = 0; rank < m_ranks.size(); ++rank) {
             for (const ExpertId expert : m_ranks[rank]) {
-                m_loads[rank] += share(expert) * pace(rank);
+                m_loads[rank] += share(expert) * slowdown(rank);
             }
         }
     }
@@ -269,10 +269,10 @@
 namespace
 {
 
-std::vector<std::vector<double>> withLeastShare(std::vector<std::vector<double>> load, const ExpertPlanOptions &options)
+std::vector<std::vector<double>> withMinShare(std::vector<std::vector<double>> load, const ExpertPlanOptions &options)
 {
-    const bool anySlow = std::ranges::any_of(options.paces, [](double pace) {
-        return pace > 1;
+    const bool anySlow = std::ranges::any_of(options.slowdowns, [](double slowdown) {
+        return slowdown > 1;
     });
     if (!anySlow || mutated(Mutation::TrustColdExperts)) {
         return load;
@@ -280,7 +280,7 @@
     for (std::vector<double> &set : load) {
         const double mean = std::accumulate(set.begin(), set.end(), 0.0) / static_cast<double>(set.size());
         for (double &expert : set) {
-            expert = std::max(expert, options.leastShareIfSlow * mean);
+            expert = std::max(expert, options.minShareIfSlow * mean);
         }
     }
     return load;
@@ -288,7 +288,7 @@
 
 } // namespace
 
-double setImbalance(const std::vector<std::vector<ExpertId>> &ranks, const std::vector<double> &load, std::span<const double> paces)
+double setImbalance(const std::vector<std::vector<ExpertId>> &ranks, const std::vector<double> &load, std::span<const double> slowdowns)
 {
     std::vector<unsigned> holders(load.size(), 0);
     for (const auto &experts : ranks) {
@@ -303,7 +303,7 @@
         for (const ExpertId expert : ranks[rank]) {
             own += load[expert] / holders[expert];
         }
-        most = std::max(most, own * paceOf(paces, rank));
+        most = std::max(most, own * slowdownOf(slowdowns, rank));
         total += own;
     }
     return total > 0 ? most * static_cast<double>(ranks.size()) / total : 1;
@@ -311,13 +311,13 @@
 
 ExpertPlanner::ExpertPlanner(GroupMap current, std::vector<std::vector<double>> load, ExpertPlanOptions options)
     : m_current(std::move(current))
-    , m_load(withLeastShare(load, options))
-    , m_seenLoad(std::move(load))
+    , m_planLoad(withMinShare(load, options))
+    , m_observedLoad(std::move(load))
     , m_options(std::move(options))
     , m_copies(m_current.empty() ? 0 : m_current.front().size(), 0)
 {
     for (std::size_t set = 0; set < m_current.size(); ++set) {
-        m_searches.emplace_back(m_current[set], m_load[set], m_options, m_copies);
+        m_searches.emplace_back(m_current[set], m_planLoad[set], m_options, m_copies);
     }
 }
 
@@ -342,16 +342,16 @@
 ExpertPlan ExpertPlanner::plan() const
 {
     ExpertPlan plan;
-    plan.before = 0;
-    plan.after = 0;
+    plan.imbalanceBefore = 0;
+    plan.imbalanceAfter = 0;
     const auto sets = static_cast<double>(m_current.size());
     for (std::size_t set = 0; set < m_current.size(); ++set) {
-        plan.before += setImbalance(m_current[set], m_seenLoad[set], m_options.paces) / sets;
-        plan.after += setImbalance(m_searches[set].ranks(), m_seenLoad[set], m_options.paces) / sets;
+        plan.imbalanceBefore += setImbalance(m_current[set], m_observedLoad[set], m_options.slowdowns) / sets;
+        plan.imbalanceAfter += setImbalance(m_searches[set].ranks(), m_observedLoad[set], m_options.slowdowns) / sets;
         plan.map.push_back(m_searches[set].ranks());
     }
     plan.copies = std::accumulate(m_copies.begin(), m_copies.end(), 0U);
-    plan.mostCopies = m_copies.empty() ? 0 : *std::ranges::max_element(m_copies);
+    plan.maxRankCopies = m_copies.empty() ? 0 : *std::ranges::max_element(m_copies);
     return plan;
 }
 
--- a/fulmarlink/expertplanner.h
+++ b/fulmarlink/expertplanner.h
@@ -9,31 +9,31 @@
 {
 
 struct ExpertPlanOptions {
-    unsigned placements = 0; ///< experts that a rank may hold of a set
-    unsigned newPerSwitch = 0; ///< experts new to a rank, of a set
-    unsigned newPerRank = 8; ///< experts new to a rank, over all sets: they are copied one after the other, and the switch waits for the slowest rank
+    unsigned maxExpertsPerRank = 0; ///< experts that a rank may hold of a set
+    unsigned maxNewPerSet = 0; ///< experts new to a rank, of a set
+    unsigned maxNewPerRank = 8; ///< experts new to a rank, over all sets: they are copied one after the other, and the switch waits for the slowest rank
     /** A change must take away this share of the busiest rank's excess over the mean; smaller ones cost more copying than they save. */
-    double leastGain = 0.04;
+    double minGain = 0.04;
     unsigned maxChanges = 768; ///< bounds the search
     /**
      * Where a rank is slow every expert counts at least as this share of the set's mean expert: what is cold now may be hot after the next turn, and
      * then the whole group would wait for the slow rank again. On days with a slow rank 0.025 to 0.09 of worth on three sites, by 8 plays each.
      */
-    double leastShareIfSlow = 0.5;
-    std::vector<double> paces = {}; ///< by rank, how many times longer its work takes than it should; empty: 1 each
+    double minShareIfSlow = 0.5;
+    std::vector<double> slowdowns = {}; ///< by rank, how many times longer its work takes than it should; empty: 1 each
 };
 
 /** What a plan changes. */
 struct ExpertPlan {
     GroupMap map;
-    double before = 1; ///< busiest rank over mean, averaged over the sets, of the current map
-    double after = 1; ///< of the planned one
+    double imbalanceBefore = 1; ///< busiest rank over mean, averaged over the sets, of the current map
+    double imbalanceAfter = 1; ///< of the planned one
     unsigned copies = 0; ///< experts that ranks must copy
-    unsigned mostCopies = 0; ///< of one rank, over all sets; they are copied one after the other
+    unsigned maxRankCopies = 0; ///< of one rank, over all sets; they are copied one after the other
 };
 
-/** Busiest rank over mean rank of one set; 1 is perfect. @p paces as in the options: the busiest is the one that takes longest. */
-double setImbalance(const std::vector<std::vector<ExpertId>> &ranks, const std::vector<double> &load, std::span<const double> paces = {});
+/** Busiest rank over mean rank of one set; 1 is perfect. @p slowdowns as in the options: the busiest is the one that takes longest. */
+double setImbalance(const std::vector<std::vector<ExpertId>> &ranks, const std::vector<double> &load, std::span<const double> slowdowns = {});
 
 /**
  * Improves the map of a group for the given loads (by set, by expert).
@@ -49,8 +49,8 @@
  * large group (some ten milliseconds of a core) must not hold it up; then plan().
  *
  * Contract: every expert stays on at least one rank; no rank holds an expert twice, more
- * than @p placements, or more new ones than the options allow. Pure.
- * O(placements^2 x ranks) a change.
+ * than @p maxExpertsPerRank, or more new ones than the options allow. Pure.
+ * O(maxExpertsPerRank^2 x ranks) a change.
  */
 class ExpertPlanner
 {
@@ -68,8 +68,8 @@
     class SetSearch;
 
     const GroupMap m_current;
-    const std::vector<std::vector<double>> m_load; ///< as planned for, see leastShareIfSlow
-    const std::vector<std::vector<double>> m_seenLoad; ///< as given
+    const std::vector<std::vector<double>> m_planLoad; ///< as planned for, see minShareIfSlow
+    const std::vector<std::vector<double>> m_observedLoad; ///< as given
     const ExpertPlanOptions m_options;
     std::vector<unsigned> m_copies; ///< new experts of each rank over all sets
     std::vector<SetSearch> m_searches;
--- a/fulmarlink/layersearch.cpp
+++ b/fulmarlink/layersearch.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-constexpr double kLeastGain = 1e-9;
+constexpr double kMinGain = 1e-9;
 constexpr std::size_t kColdRanks = 8; ///< of the least loaded, that may take something over
 
 } // namespace
@@ -89,7 +89,7 @@
     return {slot, other, true, std::max(touched, peakWithout(hot, cold)), touched, 1};
 }
 
-std::optional<LayerSearch::Change> LayerSearch::best() const
+std::optional<LayerSearch::Change> LayerSearch::bestChange() const
 {
     const unsigned hot = m_order.front();
     std::optional<Change> best;
@@ -111,11 +111,11 @@
     const unsigned hot = m_order.front();
     const ExpertId x = m_map.slots[slot];
     const auto keep = [&](const Change &change) {
-        if (change.touched >= peak() - kLeastGain) {
+        if (change.touchedPeak >= peak() - kMinGain) {
             return;
         }
         // Most changes leave the second busiest rank as the peak: among those the flattest pair is best.
-        if (!best || std::pair(change.peak, change.touched) < std::pair(best->peak, best->touched)) {
+        if (!best || std::pair(change.peak, change.touchedPeak) < std::pair(best->peak, best->touchedPeak)) {
             best = change;
         }
     };
--- a/fulmarlink/layersearch.h
+++ b/fulmarlink/layersearch.h
@@ -16,7 +16,7 @@
  * copy). Invariant: rank loads and replica counts agree with the map.
  *
  * Spare replicas are looked for on all ranks, partners of a swap on the eight least
- * loaded ones. Complexity of best():
+ * loaded ones. Complexity of bestChange():
  * O(slotsPerRank * slots); of apply(): O(slots + ranks log ranks).
  */
 class LayerSearch
@@ -29,12 +29,12 @@
         std::size_t other = 0;
         bool replicate = false; ///< other is overwritten by slot's expert; else the two swap
         double peak = 0; ///< of all ranks, after it
-        double touched = 0; ///< the higher load of the ranks that it touches; decides between equal peaks
+        double touchedPeak = 0; ///< the higher load of the ranks that it touches; decides between equal peaks
         unsigned copies = 0;
     };
 
     /** The change that gives the lowest peak, if any lowers it. */
-    std::optional<Change> best() const;
+    std::optional<Change> bestChange() const;
     void apply(const Change &change);
 
     double peak() const;
--- a/fulmarlink/mapplanner.h
+++ b/fulmarlink/mapplanner.h
@@ -23,21 +23,21 @@
     double expertBytes = 44e6; ///< of one expert of one layer
     double storeBytesPerSecond = 2e9; ///< this group's share of the weight store
     double maxBytes = 1e18; ///< that may be moved in this interval
-    unsigned maxAge = 3; ///< intervals without a report before a layer is left alone
+    unsigned maxForecastAge = 3; ///< intervals without a report before a layer is left alone
 };
 
 /** One layer's input. */
 struct LayerInput {
     const LayerMap &current;
-    const LayerLoad &last; ///< the last interval's load
+    const LayerLoad &lastLoad; ///< the last interval's load
     const LoadForecast &forecast;
-    const LayerLoad *future = nullptr; ///< the next interval's true load; only for the bound
+    const LayerLoad *nextLoad = nullptr; ///< the next interval's true load; only for the bound
 };
 
 /**
  * Plans the next map of a group. Planners are plug-ins by name.
  *
- * Contract: gives one map for each layer of the input, each valid (validLayer()); a
+ * Contract: gives one map for each layer of the input, each valid (isValidLayer()); a
  * planner that finds nothing worth its price gives the current one. Pure.
  */
 class MapPlanner
--- a/fulmarlink/mapplanners.cpp
+++ b/fulmarlink/mapplanners.cpp
@@ -105,7 +105,7 @@
     {
         ExpertMap result;
         for (const LayerInput &layer : layers) {
-            result.push_back(packGreedily(layer.current, layer.last));
+            result.push_back(packGreedily(layer.current, layer.lastLoad));
         }
         return result;
     }
@@ -118,8 +118,8 @@
     {
         ExpertMap result = currentMaps(layers);
         for (std::size_t i = 0; i < layers.size(); ++i) {
-            if (imbalance(result[i], layers[i].last) > kSwapThreshold) {
-                swapOnce(result[i], layers[i].last);
+            if (imbalance(result[i], layers[i].lastLoad) > kSwapThreshold) {
+                swapOnce(result[i], layers[i].lastLoad);
             }
         }
         return result;
@@ -153,7 +153,7 @@
 {
     LayerSearch search(std::move(start), load);
     for (unsigned i = 0; i < search.map().ranks * kMaxChangesPerRank; ++i) {
-        const auto change = search.best();
+        const auto change = search.bestChange();
         if (!change) {
             break;
         }
@@ -169,7 +169,7 @@
     {
         ExpertMap result;
         for (const LayerInput &layer : layers) {
-            const LayerLoad &load = layer.future != nullptr ? *layer.future : layer.last;
+            const LayerLoad &load = layer.nextLoad != nullptr ? *layer.nextLoad : layer.lastLoad;
             LayerMap packed = searchFreely(packGreedily(layer.current, load), load);
             LayerMap kept = searchFreely(layer.current, load);
             result.push_back(imbalance(packed, load) < imbalance(kept, load) ? packed : kept);
@@ -186,7 +186,7 @@
         ExpertMap result;
         double bytesLeft = weights.maxBytes;
         for (const LayerInput &layer : layers) {
-            const bool known = layer.forecast.ready() && layer.forecast.age() < weights.maxAge;
+            const bool known = layer.forecast.ready() && layer.forecast.age() < weights.maxForecastAge;
             result.push_back(known ? planLayer(layer, weights, layers.size(), bytesLeft) : layer.current);
         }
         return result;
@@ -207,7 +207,7 @@
         unsigned bestCopies = 0;
         unsigned fruitless = 0;
         for (unsigned i = 0; i < layer.current.ranks * kMaxChangesPerRank && fruitless < kMaxFruitless; ++i) {
-            const auto change = search.best();
+            const auto change = search.bestChange();
             if (!change || (copies + change->copies) * weights.expertBytes > bytesLeft) {
                 break;
             }
--- a/testing/enginemodel_test.cpp
+++ b/testing/enginemodel_test.cpp
@@ -34,22 +34,22 @@
 
 TEST(EngineModel, APassIsItsStepsAndWhatIsReadMeanwhile)
 {
-    EXPECT_NEAR(ms(passLength(engine(), {6, 300, 0, 1})), 5 * (4.5 + 6) + 5, 0.01);
-    EXPECT_NEAR(ms(passLength(engine(), {6, 0, 1000, 1})), 5 * (4.5 + 6 * 1.02), 0.01);
+    EXPECT_NEAR(ms(passDuration(engine(), {6, 300, 0, 1})), 5 * (4.5 + 6) + 5, 0.01);
+    EXPECT_NEAR(ms(passDuration(engine(), {6, 0, 1000, 1})), 5 * (4.5 + 6 * 1.02), 0.01);
 }
 
 TEST(EngineModel, ImbalanceStretchesTheExpertsShareOnly)
 {
-    const double balanced = ms(passLength(engine(), {6, 300, 0, 1}));
-    const double skewed = ms(passLength(engine(), {6, 300, 0, 2.5}));
+    const double balanced = ms(passDuration(engine(), {6, 300, 0, 1}));
+    const double skewed = ms(passDuration(engine(), {6, 300, 0, 2.5}));
     EXPECT_NEAR(skewed, balanced * (0.2 + 0.8 * 2.5), 0.01);
-    EXPECT_NEAR(passRatio(engine(), 1, 2.5), 0.2 + 0.8 * 2.5, 1e-9);
-    EXPECT_NEAR(passRatio(engine(), 2.5, 1.25), (0.2 + 0.8 * 1.25) / (0.2 + 0.8 * 2.5), 1e-9);
+    EXPECT_NEAR(passDurationRatio(engine(), 1, 2.5), 0.2 + 0.8 * 2.5, 1e-9);
+    EXPECT_NEAR(passDurationRatio(engine(), 2.5, 1.25), (0.2 + 0.8 * 1.25) / (0.2 + 0.8 * 2.5), 1e-9);
 }
 
 TEST(EngineModel, WithoutWritersAPassReadsOnly)
 {
-    EXPECT_NEAR(ms(passLength(engine(), {0, 600, 0, 1})), 4.5 + 10, 0.01);
+    EXPECT_NEAR(ms(passDuration(engine(), {0, 600, 0, 1})), 4.5 + 10, 0.01);
 }
 
 // What a switch may copy on engines of different sizes: experts of 0.37 to 2.5 GB over 92 Gbit/s.
@@ -69,7 +69,7 @@
         EXPECT_EQ(copies(expertMb, 30), 1U) << "the first switch after a turn";
     }
     engine.expertMb = 1700;
-    EXPECT_NEAR(std::chrono::duration<double>(copyLength(engine, 2)).count(), 0.305, 0.002);
+    EXPECT_NEAR(std::chrono::duration<double>(copyDuration(engine, 2)).count(), 0.305, 0.002);
     engine.linkMbps = 0; // not said
     EXPECT_EQ(copiesWithin(engine, std::chrono::milliseconds(260)), 1U);
 }
--- a/testing/expertplanner_test.cpp
+++ b/testing/expertplanner_test.cpp
@@ -49,7 +49,7 @@
 
 ExpertPlanOptions smallGroup()
 {
-    return {.placements = 5, .newPerSwitch = 2, .newPerRank = 3};
+    return {.maxExpertsPerRank = 5, .maxNewPerSet = 2, .maxNewPerRank = 3};
 }
 
 } // namespace
@@ -61,14 +61,14 @@
         const unsigned perRank = *rc::gen::inRange(1U, 5U);
         const unsigned experts = ranks * perRank;
         ExpertPlanOptions options;
-        options.placements = perRank + *rc::gen::inRange(0U, 3U);
-        options.newPerSwitch = *rc::gen::inRange(1U, 3U);
-        options.newPerRank = *rc::gen::inRange(1U, 6U);
+        options.maxExpertsPerRank = perRank + *rc::gen::inRange(0U, 3U);
+        options.maxNewPerSet = *rc::gen::inRange(1U, 3U);
+        options.maxNewPerRank = *rc::gen::inRange(1U, 6U);
         GroupMap map = inTurn(2, ranks, experts);
         for (int round = 0; round < 3; ++round) {
             const auto load = powerLaw(2, experts, 1.1, *rc::gen::arbitrary<std::uint64_t>());
             const ExpertPlan plan = planExperts(map, load, options);
-            RC_ASSERT(plan.after <= plan.before + 1e-9);
+            RC_ASSERT(plan.imbalanceAfter <= plan.imbalanceBefore + 1e-9);
             std::vector<unsigned> copies(ranks, 0);
             for (std::size_t set = 0; set < map.size(); ++set) {
                 std::set<ExpertId> there;
@@ -76,19 +76,19 @@
                     const auto &held = plan.map[set][rank];
                     const std::set<ExpertId> own(held.begin(), held.end());
                     RC_ASSERT(own.size() == held.size());
-                    RC_ASSERT(held.size() <= options.placements);
+                    RC_ASSERT(held.size() <= options.maxExpertsPerRank);
                     unsigned added = 0;
                     for (const ExpertId expert : held) {
                         added += std::ranges::find(map[set][rank], expert) == map[set][rank].end() ? 1 : 0;
                     }
-                    RC_ASSERT(added <= options.newPerSwitch);
+                    RC_ASSERT(added <= options.maxNewPerSet);
                     copies[rank] += added;
                     there.insert(held.begin(), held.end());
                 }
                 RC_ASSERT(there.size() == experts);
             }
-            RC_ASSERT(*std::ranges::max_element(copies) <= options.newPerRank);
-            RC_ASSERT(plan.mostCopies == *std::ranges::max_element(copies));
+            RC_ASSERT(*std::ranges::max_element(copies) <= options.maxNewPerRank);
+            RC_ASSERT(plan.maxRankCopies == *std::ranges::max_element(copies));
             map = plan.map;
         }
     });
@@ -99,19 +99,19 @@
     GroupMap map = inTurn(4, 16, 64);
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         const ExpertPlan plan = planExperts(map, powerLaw(4, 64, 1.1, seed), smallGroup());
-        EXPECT_GT(plan.before, 1.8) << seed;
-        EXPECT_LT(plan.after, 1.25) << seed;
-        EXPECT_LE(plan.mostCopies, 3U);
+        EXPECT_GT(plan.imbalanceBefore, 1.8) << seed;
+        EXPECT_LT(plan.imbalanceAfter, 1.25) << seed;
+        EXPECT_LE(plan.maxRankCopies, 3U);
         map = plan.map;
     }
 }
 
 TEST(ExpertPlanner, ALargeGroupToo)
 {
-    const ExpertPlanOptions options{.placements = 3, .newPerSwitch = 2, .newPerRank = 24};
+    const ExpertPlanOptions options{.maxExpertsPerRank = 3, .maxNewPerSet = 2, .maxNewPerRank = 24};
     const ExpertPlan plan = planExperts(inTurn(12, 72, 144), powerLaw(12, 144, 0.53, 3), options); // what a played day of 72 ranks shows
-    EXPECT_GT(plan.before, 2);
-    EXPECT_LT(plan.after, 1.3);
+    EXPECT_GT(plan.imbalanceBefore, 2);
+    EXPECT_LT(plan.imbalanceAfter, 1.3);
 }
 
 TEST(ExpertPlanner, BalancedDemandMovesNothing)
@@ -119,7 +119,7 @@
     const std::vector<std::vector<double>> even(4, std::vector<double>(64, 1000));
     const ExpertPlan plan = planExperts(inTurn(4, 16, 64), even, smallGroup());
     EXPECT_EQ(plan.copies, 0U);
-    EXPECT_DOUBLE_EQ(plan.after, 1);
+    EXPECT_DOUBLE_EQ(plan.imbalanceAfter, 1);
 }
 
 TEST(ExpertLoad, OnlyTheDifferenceOfTwoReadsOfOneEpochCounts)
@@ -129,16 +129,16 @@
     read.epoch = 1;
     read.counts = {{100, 50}};
     load.add("a", read);
-    EXPECT_EQ(load.gathered(), 0);
+    EXPECT_EQ(load.pendingChoices(), 0);
     read.counts = {{130, 50}};
     load.add("a", read);
-    EXPECT_EQ(load.gathered(), 30);
+    EXPECT_EQ(load.pendingChoices(), 30);
     read.epoch = 2; // the group has formed again
     read.counts = {{5, 5}};
     load.add("a", read);
-    EXPECT_EQ(load.gathered(), 30);
+    EXPECT_EQ(load.pendingChoices(), 30);
     EXPECT_EQ(load.take(), (std::vector<std::vector<double>>{{30, 0}}));
-    EXPECT_EQ(load.gathered(), 0);
+    EXPECT_EQ(load.pendingChoices(), 0);
 }
 
 // The load: one rank of a group works at a twelfth of its speed, and all wait for it.
@@ -154,14 +154,14 @@
     }
     const auto load = powerLaw(4, 64, 0.3, 7);
     ExpertPlanOptions options = smallGroup();
-    options.paces.assign(kRanks, 1);
-    options.paces[kSlow] = 12;
+    options.slowdowns.assign(kRanks, 1);
+    options.slowdowns[kSlow] = 12;
     double before = 0;
     double after = 0;
     for (unsigned i = 0; i < 3; ++i) {
         const ExpertPlan plan = planExperts(map, load, options);
-        before = i == 0 ? plan.before : before;
-        after = plan.after;
+        before = i == 0 ? plan.imbalanceBefore : before;
+        after = plan.imbalanceAfter;
         map = plan.map;
     }
     EXPECT_GT(before, 10);
--- a/testing/gatewaymutation_test.cpp
+++ b/testing/gatewaymutation_test.cpp
@@ -143,9 +143,9 @@
 bool slowRanksAreEmptied()
 {
     ExpertPlanOptions options;
-    options.placements = 3;
-    options.newPerSwitch = 2;
-    options.paces = {8, 1, 1};
+    options.maxExpertsPerRank = 3;
+    options.maxNewPerSet = 2;
+    options.slowdowns = {8, 1, 1};
     const GroupMap map{{{0, 1}, {2, 3}, {4, 5}}};
     return planExperts(map, {std::vector<double>(6, 1)}, options).map.front().front().size() < 2;
 }
@@ -153,9 +153,9 @@
 bool coldExpertsLeaveSlowRanks()
 {
     ExpertPlanOptions options;
-    options.placements = 3;
-    options.newPerSwitch = 2;
-    options.paces = {8, 1, 1};
+    options.maxExpertsPerRank = 3;
+    options.maxNewPerSet = 2;
+    options.slowdowns = {8, 1, 1};
     const GroupMap map{{{0, 1}, {2, 3}, {4, 5}}};
     return planExperts(map, {{0, 0, 4, 4, 4, 4}}, options).map.front().front().size() < 2;
 }
@@ -208,7 +208,7 @@
     read.born = 2;
     read.counts = {{400, 100}};
     load.add("rank", read);
-    return load.gathered() == 0;
+    return load.pendingChoices() == 0;
 }
 
 bool groupsOfTwoEpochsAreNotWhole()
