--- a/fulmarlink/admission.cpp
+++ b/fulmarlink/admission.cpp
@@ -28,14 +28,14 @@
 
     auto key() const
     {
-        return std::tuple(standsStill && !mutated(Mutation::AskStillGroup), candidate.passedOver, cost, tieBreak);
+        return std::tuple(standsStill && !mutated(Mutation::AskStillGroup), candidate.deprioritized, cost, tieBreak);
     }
 };
 
 /** The group's mean pause as a share of what is on time. */
 double paceOf(const PoolGate &gate, TimePoint now)
 {
-    const std::optional<Duration> pause = gate.recentPause(now);
+    const std::optional<Duration> pause = gate.meanEventInterval(now);
     if (!pause || gate.gapTarget() <= Duration(0) || mutated(Mutation::IgnoreGroupPace)) {
         return 0;
     }
@@ -57,7 +57,7 @@
 
 } // namespace
 
-Admission admitToPool(GatewayState &state, const std::string &pool, const RequestNeed &need, const std::set<std::string> &tried)
+Admission admitToPool(GatewayState &state, const std::string &pool, const RequestDemand &need, const std::set<std::string> &tried)
 {
     const TimePoint now = state.clock.now();
     Admission result;
@@ -66,7 +66,7 @@
         PoolGate &gate = state.pool(pool).gate(candidate.group);
         PoolLoad load;
         load.runners = candidate.runners;
-        load.leastLoad = need.admitted ? 0 : candidate.load;
+        load.lowestLoad = need.admitted ? 0 : candidate.load;
         load.events = need.admitted ? 0 : need.events;
         load.timeLeft = need.timeLeft;
         const GateDecision decision = gate.decide(load, now, state.random);
@@ -82,14 +82,14 @@
     }
     const BlockedRunners blocked = refused ? BlockedRunners() : state.targets.blocked(pool, tried, now);
     if (blocked.runners() > 0) {
-        result.decision = {false, blockedCode(blocked), Duration(0)};
+        result.decision = {false, blockedResultCode(blocked), Duration(0)};
     } else if (!refused) {
         result.decision = state.pool(pool).gate({}).decide({}, now, state.random);
     }
     return result;
 }
 
-ResultCode blockedCode(const BlockedRunners &blocked)
+ResultCode blockedResultCode(const BlockedRunners &blocked)
 {
     return blocked.backingOff > 0 ? ResultCode::RunnersBackingOff : ResultCode::RunnersLimited;
 }
--- a/fulmarlink/admission.h
+++ b/fulmarlink/admission.h
@@ -14,7 +14,7 @@
 struct GatewayState;
 
 /** What a request needs of the group that takes it. */
-struct RequestNeed {
+struct RequestDemand {
     double events = 0; ///< as in PoolLoad
     Duration timeLeft{0}; ///< as in PoolLoad
     bool admitted = false; ///< its pool took it before: only a stalled group is closed to it
@@ -40,10 +40,10 @@
  * only runners are left that want no request from here now it is RunnersBackingOff or
  * RunnersLimited, and blockedRetryAfter() tells when to come back.
  */
-Admission admitToPool(GatewayState &state, const std::string &pool, const RequestNeed &need, const std::set<std::string> &tried);
+Admission admitToPool(GatewayState &state, const std::string &pool, const RequestDemand &need, const std::set<std::string> &tried);
 
 /** What a caller is told where @p blocked are all runners that are left. */
-ResultCode blockedCode(const BlockedRunners &blocked);
+ResultCode blockedResultCode(const BlockedRunners &blocked);
 
 /** For one more caller of @p pool that is sent away for that reason. */
 Duration blockedRetryAfter(GatewayState &state, const std::string &pool);
--- a/fulmarlink/crashwatch.cpp
+++ b/fulmarlink/crashwatch.cpp
@@ -227,7 +227,7 @@
     for (unsigned probe = 1; probe <= kProbes && refused && !hasEnded; ++probe) {
         co_await sleep(kProbeInterval);
         refused = co_await refusesConnections(target);
-        const bool silent = probe == kProbes && m_state.targets.lastHeard(incarnation.id) < began;
+        const bool silent = probe == kProbes && m_state.targets.lastReceived(incarnation.id) < began;
         hasEnded = refused && (silent || !m_state.attempts.anyInProgress(incarnation));
     }
     m_unconfirmed.erase(incarnation);
--- a/fulmarlink/entrydispatch.cpp
+++ b/fulmarlink/entrydispatch.cpp
@@ -313,7 +313,7 @@
         choose(now, request);
         return;
     }
-    if (m_services.directory.dropped(request.runner)) {
+    if (m_services.directory.isUnlisted(request.runner)) {
         leaveRunner(now, request, false);
         follow(now, request, before ? request.machine.giveUp(request.lastRefusal) : breakOff(request, ResultCode::RunnerReplaced));
         return;
@@ -345,7 +345,7 @@
     }
     request.counted = false;
     const bool busy = request.lastRefusal == ResultCode::RunnerBusy && !request.headGiven;
-    m_services.directory.finished(now, request.runner, !good ? RunnerVerdict::Error : busy ? RunnerVerdict::Busy : RunnerVerdict::Good);
+    m_services.directory.finished(now, request.runner, !good ? DispatchOutcome::Error : busy ? DispatchOutcome::Busy : DispatchOutcome::Success);
 }
 
 /** The answer can't be completed; only an idempotent request of which the caller has nothing goes elsewhere. */
--- a/fulmarlink/entryprocess.cpp
+++ b/fulmarlink/entryprocess.cpp
@@ -387,7 +387,7 @@
     limit([&](TimePoint at) {
         m_limiter.tick(at);
     });
-    for (const NodeId node : m_directory.relinkCandidates(now)) {
+    for (const NodeId node : m_directory.reconnectCandidates(now)) {
         m_hub->open(node);
     }
     {
--- a/fulmarlink/expertmapcontroller.cpp
+++ b/fulmarlink/expertmapcontroller.cpp
@@ -113,7 +113,7 @@
 /** How long this host waits before it acquires a free lease, so that better suited hosts can take it. */
 Duration ExpertMapController::acquireDelay() const
 {
-    const bool streams = gate().recentPause(m_state.clock.now()).has_value();
+    const bool streams = gate().meanEventInterval(m_state.clock.now()).has_value();
     const unsigned others = m_state.groupsOwned - (m_wasLeader ? 1 : 0);
     return linkAcquireDelay(m_state.settings.linkMbps) + (streams ? Duration(0) : kNoStreamsAcquireDelay)
            + kPerGroupAcquireDelay * static_cast<Duration::rep>(others);
@@ -231,7 +231,7 @@
     if (load.size() != m_map.size() || load.front().size() != m_engine.experts) {
         co_return;
     }
-    if (DemandShiftDetector::suggestsSlowRank(gate().recentPause(m_state.clock.now()), baseline)) {
+    if (DemandShiftDetector::suggestsSlowRank(gate().meanEventInterval(m_state.clock.now()), baseline)) {
         co_await refreshSlowRanks();
     }
     const double minImprovement = m_state.settings.leastImprovement * m_state.settings.costWeight / std::max(kMinWeight, m_state.settings.skewWeight);
--- a/fulmarlink/expertmapcontrollercalls.cpp
+++ b/fulmarlink/expertmapcontrollercalls.cpp
@@ -252,7 +252,7 @@
 std::optional<std::uint64_t> ExpertMapController::estimateCurrentPass() const
 {
     const TimePoint now = m_state.clock.now();
-    const std::optional<Duration> length = gate().recentPause(now);
+    const std::optional<Duration> length = gate().meanEventInterval(now);
     if (!length || now - m_latestPassAt > kPassEstimateExpiry) {
         return std::nullopt;
     }
@@ -285,7 +285,7 @@
         pass = std::max(pass, report.pass);
     }
     const TimePoint now = m_state.clock.now();
-    const Duration length = std::max(kMinPassLength, gate().recentPause(now).value_or(kDefaultPassLength));
+    const Duration length = std::max(kMinPassLength, gate().meanEventInterval(now).value_or(kDefaultPassLength));
     const Duration ahead = m_engine.reportLag + (now - m_reportsAt);
     m_switch.holdAt(pass + static_cast<std::uint64_t>(ahead / length) + 1 + refusals);
 }
--- a/fulmarlink/expertmapcontrollerpace.cpp
+++ b/fulmarlink/expertmapcontrollerpace.cpp
@@ -39,14 +39,14 @@
 {
     const TimePoint now = m_state.clock.now();
     const PoolGate &gate = this->gate();
-    return m_shiftDetector.countsDue({gate.recentPause(now), gate.lastAnswer(), gate.gapTarget()}, now);
+    return m_shiftDetector.countsDue({gate.meanEventInterval(now), gate.lastAnswer(), gate.gapTarget()}, now);
 }
 
 /** True if the group processes requests while this host has no streams from which it could detect a demand shift. */
 asio::awaitable<bool> ExpertMapController::activeWithoutLocalStreams()
 {
     const TimePoint now = m_state.clock.now();
-    if (gate().recentPause(now) || now - m_lastPassCheck < kPassCheckInterval) {
+    if (gate().meanEventInterval(now) || now - m_lastPassCheck < kPassCheckInterval) {
         co_return false;
     }
     m_lastPassCheck = now;
@@ -104,7 +104,7 @@
     const PoolGate &gate = this->gate();
     const TimePoint began = m_state.clock.now();
     const TimePoint seen = gate.lastAnswer();
-    const Duration limit = std::max(kMaxCountWindow, gate.recentPause(began).value_or(Duration(0)) * kWindowIntervals);
+    const Duration limit = std::max(kMaxCountWindow, gate.meanEventInterval(began).value_or(Duration(0)) * kWindowIntervals);
     while (gate.lastAnswer() - seen < kSamePassSpread && m_state.clock.now() - began < limit) {
         co_await sleep(kPassPollInterval);
     }
@@ -120,7 +120,7 @@
     };
     while (!inForce() && m_state.clock.now() - began < kMaxSwitchWait) {
         co_await waitForNextPass();
-        const bool events = gate().recentPause(m_state.clock.now()).has_value();
+        const bool events = gate().meanEventInterval(m_state.clock.now()).has_value();
         if (!events) {
             const bool known = co_await readCurrentPass();
             if (!known) {
--- a/fulmarlink/gateway.cpp
+++ b/fulmarlink/gateway.cpp
@@ -238,7 +238,7 @@
         return;
     }
     for (const ServiceSpec &service : active->configuration.services) {
-        m_connections.setMost(service.name, service.maxConnections, m_state.entries);
+        m_connections.setConnectionLimit(service.name, service.maxConnections, m_state.entries);
     }
 }
 
@@ -265,7 +265,7 @@
     const TargetChanges changes = m_state.targets.setTargets(m_listed, m_clock.now());
     m_targetsKnown = true;
     for (const std::string &id : changes.restarted) {
-        m_connections.drop(id);
+        m_connections.closeIdleTo(id);
         const TargetInfo *target = m_state.targets.find(id);
         m_crashWatch.restarted(id, target == nullptr ? 0 : target->born);
     }
--- a/fulmarlink/gatewayanswer.cpp
+++ b/fulmarlink/gatewayanswer.cpp
@@ -50,7 +50,7 @@
             break;
         }
         if (const BlockedRunners blocked = m_state.targets.blocked(m_pool, {}, m_state.clock.now()); blocked.free == 0 && blocked.runners() > 0) {
-            m_result = blockedCode(blocked);
+            m_result = blockedResultCode(blocked);
             m_retryAfter = blockedRetryAfter(m_state, m_pool);
             co_await writeOwn(m_result, m_retryAfter);
             break;
--- a/fulmarlink/gatewayattempt.cpp
+++ b/fulmarlink/gatewayattempt.cpp
@@ -26,9 +26,9 @@
     m_target = target.id;
     m_tried.insert(target.id);
     if (m_state.targets.ownRequests(m_pool, m_group) == 0) {
-        gate().workBegan(began);
+        gate().recordWorkStart(began);
     }
-    m_state.targets.sent(target.id);
+    m_state.targets.requestSent(target.id);
     AttemptEnd end = AttemptEnd::NotSent;
     std::exception_ptr error;
     try {
@@ -36,7 +36,7 @@
     } catch (...) {
         error = std::current_exception();
     }
-    m_state.targets.ended(target.id);
+    m_state.targets.requestEnded(target.id);
     if (error) {
         m_state.attempts.recordEnd(m_attempt, RunnerAttempts::Outcome::Resolved, m_state.clock.now());
         std::rethrow_exception(error);
@@ -65,8 +65,8 @@
     const auto connection = co_await m_state.connections->acquire(target, std::min(kConnectTimeout, timerMs(timeLeft())));
     if (!connection) {
         m_reason = "connect";
-        m_state.targets.failed(target.id, m_state.clock.now());
-    } else if (m_gone || !m_state.targets.mayTake(target.id, m_state.clock.now()) || !mayRetry()) {
+        m_state.targets.requestFailed(target.id, m_state.clock.now());
+    } else if (m_gone || !m_state.targets.isUsable(target.id, m_state.clock.now()) || !mayRetry()) {
         m_reason = "leaving";
         connection->idleLimit = TargetConnections::kDefaultIdle;
         m_state.connections->release(connection);
@@ -103,7 +103,7 @@
 {
     m_targets += (m_targets.empty() ? "" : ",") + target.id;
     if (end == AttemptEnd::Answered) {
-        m_state.targets.succeeded(target.id);
+        m_state.targets.requestSucceeded(target.id);
         m_state.pool(m_pool).serviceTime.record(m_state.clock.now() - began);
         return;
     }
--- a/fulmarlink/gatewayexchange.cpp
+++ b/fulmarlink/gatewayexchange.cpp
@@ -161,7 +161,7 @@
     }
     PoolState &pool = m_state.pool(m_pool);
     pool.budget.countRequest(m_arrived);
-    const RequestNeed need{.events = usualEvents(), .timeLeft = m_deadline - m_arrived};
+    const RequestDemand need{.events = usualEvents(), .timeLeft = m_deadline - m_arrived};
     const Admission admission = admitToPool(m_state, m_pool, need, {});
     m_group = admission.group;
     m_admitted = admission.target;
@@ -169,7 +169,7 @@
         m_reason = "load " + twoDecimals(admission.load) + " ceiling " + twoDecimals(admission.ceiling) + " runners " + std::to_string(admission.runners);
         const BlockedRunners blocked = m_state.targets.blocked(m_pool, {}, m_arrived);
         m_reason += " backing-off " + std::to_string(blocked.backingOff) + " limited " + std::to_string(blocked.limited);
-        const bool allBlocked = admission.decision.refusal == blockedCode(blocked);
+        const bool allBlocked = admission.decision.refusal == blockedResultCode(blocked);
         return refuse(admission.decision.refusal, allBlocked ? blockedRetryAfter(m_state, m_pool) : admission.decision.retryAfter);
     }
     return true;
--- a/fulmarlink/gatewayrelay.cpp
+++ b/fulmarlink/gatewayrelay.cpp
@@ -65,7 +65,7 @@
     if (error) {
         m_reason = "write: " + error.message();
         m_cut = error != boost::beast::error::timeout;
-        m_state.targets.failed(target.id, m_state.clock.now());
+        m_state.targets.requestFailed(target.id, m_state.clock.now());
     }
     co_return !error;
 }
@@ -82,7 +82,7 @@
     }
     const TimePoint now = m_state.clock.now();
     const bool lively = now - m_state.pool(m_pool).gate(m_group).lastAnswer() < kLively;
-    const bool alive = now - m_state.targets.lastHeard(m_target) < kSilentStream; // it answers others: this request waits its turn
+    const bool alive = now - m_state.targets.lastReceived(m_target) < kSilentStream; // it answers others: this request waits its turn
     return lively && !alive ? std::min(left, std::max(m_route.objective * 2, kSilentStream)) : left;
 }
 
@@ -124,9 +124,9 @@
     if (answer.backoff && *answer.backoff > Duration(0)) {
         return; // it is known for how long
     }
-    const bool ownChoice = answer.speaksForTarget && answer.faultyTarget.empty() && m_state.targets.refused(target.id, answer.load, now);
+    const bool ownChoice = answer.speaksForTarget && answer.faultyTarget.empty() && m_state.targets.requestRefused(target.id, answer.load, now);
     if (!ownChoice) {
-        gate().refusalSeen(now);
+        gate().recordRefusal(now);
     }
 }
 
@@ -141,7 +141,7 @@
             m_reason = silent ? "silent" : "head: " + error.message();
             m_cut = !silent;
             if (!m_gone) {
-                m_state.targets.failed(target.id, m_state.clock.now());
+                m_state.targets.requestFailed(target.id, m_state.clock.now());
             }
             co_return AttemptEnd::Broken;
         }
@@ -178,13 +178,13 @@
         }
         if (answer.attemptId.empty() || (head.result_int() < 300 && !answer.sealed)) {
             m_reason = "invalid";
-            m_state.targets.failed(target.id, now);
+            m_state.targets.requestFailed(target.id, now);
             co_return AttemptEnd::Broken;
         }
-        gate().answerSeen(now);
+        gate().recordAnswer(now);
         m_state.signals.recordAccepted({target.id, target.born}, m_attemptSent, target.slots);
-        m_state.targets.took(target.id);
-        m_state.targets.heard(target.id, now);
+        m_state.targets.requestAccepted(target.id);
+        m_state.targets.dataReceived(target.id, now);
         const bool stream = m_route.streaming && head.result_int() == 200 && isEventStream(head);
         AttemptEnd end = AttemptEnd::Broken;
         if (stream) {
@@ -309,8 +309,8 @@
 void GatewayExchange::noteEvents(TimePoint now)
 {
     PoolGate &gate = this->gate();
-    gate.answerSeen(now);
-    m_state.targets.heard(m_target, now);
+    gate.recordAnswer(now);
+    m_state.targets.dataReceived(m_target, now);
     m_state.attempts.markAnswering(m_attempt);
     const bool first = m_firstEvent == TimePoint{};
     const Duration pause = first ? now - m_arrived : now - m_lastEvent;
@@ -321,11 +321,11 @@
     } else {
         m_state.eventPause.observe(pause);
         m_longestPause = std::max(m_longestPause, pause);
-        gate.pauseSeen(pause, target, now);
+        gate.recordEventInterval(pause, target, now);
     }
     m_lastEvent = now;
     if (target > Duration(0)) {
-        gate.paceSeen(std::chrono::duration<double>(pause) / std::chrono::duration<double>(target), now);
+        gate.recordLatencyRatio(std::chrono::duration<double>(pause) / std::chrono::duration<double>(target), now);
     }
 }
 
--- a/fulmarlink/gatewaystate.cpp
+++ b/fulmarlink/gatewaystate.cpp
@@ -70,11 +70,11 @@
 bool GatewayState::standsStill(const std::string &poolName, const std::string &group, TimePoint now)
 {
     const PoolGate &gate = pool(poolName).gate(group);
-    const TimePoint sign = gate.lastSign();
+    const TimePoint sign = gate.lastActivity();
     if (sign == TimePoint{} || targets.ownRequests(poolName, group) == 0) {
         return false;
     }
-    const Duration usual = gate.recentPause(now).value_or(Duration(0)) * kStandstillPasses;
+    const Duration usual = gate.meanEventInterval(now).value_or(Duration(0)) * kStandstillPasses;
     return now - sign > std::max(kStandstill, usual);
 }
 
--- a/fulmarlink/poolgate.cpp
+++ b/fulmarlink/poolgate.cpp
@@ -40,7 +40,7 @@
         m_nextProbe = now + kProbeInterval;
         return {};
     }
-    if (load.leastLoad >= m_ceiling) {
+    if (load.lowestLoad >= m_ceiling) {
         return {false, ResultCode::PoolOverloaded, retryAfter(kOverloadedRetry, random)};
     }
     if (tooSlow(load, now)) {
@@ -49,7 +49,7 @@
     return {};
 }
 
-void PoolGate::paceSeen(double ratio, TimePoint now)
+void PoolGate::recordLatencyRatio(double ratio, TimePoint now)
 {
     if (now - m_windowBegan >= kWindow) {
         if (m_seen >= kLeastSeen) {
@@ -64,12 +64,12 @@
     m_late += ratio > 1 ? 1 : 0;
 }
 
-void PoolGate::pauseSeen(Duration pause, Duration target, TimePoint now)
+void PoolGate::recordEventInterval(Duration pause, Duration target, TimePoint now)
 {
     m_gapTarget = target;
     m_pauses.emplace_back(now, pause);
     m_pauseSum += pause;
-    while (now - m_pauses.front().first >= kPaceWindow) {
+    while (now - m_pauses.front().first >= kIntervalWindow) {
         m_pauseSum -= m_pauses.front().second;
         m_pauses.pop_front();
     }
@@ -80,9 +80,9 @@
     return m_gapTarget;
 }
 
-std::optional<Duration> PoolGate::recentPause(TimePoint now) const
+std::optional<Duration> PoolGate::meanEventInterval(TimePoint now) const
 {
-    if (m_pauses.size() < kLeastPauses || now - m_pauses.back().first > kPaceForgotten) {
+    if (m_pauses.size() < kMinIntervals || now - m_pauses.back().first > kIntervalExpiry) {
         return std::nullopt;
     }
     return m_pauseSum / static_cast<Duration::rep>(m_pauses.size());
@@ -90,21 +90,21 @@
 
 bool PoolGate::tooSlow(const PoolLoad &load, TimePoint now) const
 {
-    const auto pause = recentPause(now);
+    const auto pause = meanEventInterval(now);
     if (mutated(Mutation::AdmitDoomed)) {
         return false;
     }
     return load.events > 0 && pause && std::chrono::duration<double>(*pause) * load.events > std::chrono::duration<double>(load.timeLeft);
 }
 
-void PoolGate::refusalSeen(TimePoint now)
+void PoolGate::recordRefusal(TimePoint now)
 {
     if (++m_refusals == kRefusalsToStall) {
         m_nextProbe = now + kProbeInterval;
     }
 }
 
-void PoolGate::answerSeen(TimePoint now)
+void PoolGate::recordAnswer(TimePoint now)
 {
     m_refusals = 0;
     m_lastAnswer = now;
@@ -125,14 +125,14 @@
     return m_lastAnswer;
 }
 
-void PoolGate::workBegan(TimePoint now)
+void PoolGate::recordWorkStart(TimePoint now)
 {
-    m_workBegan = now;
+    m_workStartedAt = now;
 }
 
-TimePoint PoolGate::lastSign() const
+TimePoint PoolGate::lastActivity() const
 {
-    return std::max(m_lastAnswer, m_workBegan);
+    return std::max(m_lastAnswer, m_workStartedAt);
 }
 
 } // namespace fulmarlink
--- a/fulmarlink/poolgate.h
+++ b/fulmarlink/poolgate.h
@@ -13,7 +13,7 @@
 /** What the gate knows when a request comes. */
 struct PoolLoad {
     unsigned runners = 0; ///< that may take work
-    double leastLoad = 0; ///< of the best runner, in requests for each of its slots
+    double lowestLoad = 0; ///< of the best runner, in requests for each of its slots
     double events = 0; ///< that the request will probably have; 0: not a stream, or not known
     Duration timeLeft{0}; ///< until its caller or its route gives it up
 };
@@ -49,35 +49,35 @@
 public:
     static constexpr unsigned kRefusalsToStall = 4;
     static constexpr Duration kProbeInterval = std::chrono::milliseconds(150);
-    static constexpr Duration kPaceWindow = std::chrono::milliseconds(180); ///< a few passes of a loaded group
-    static constexpr Duration kPaceForgotten = std::chrono::milliseconds(2500); ///< longer than callers wait for the next event of a stream
-    static constexpr unsigned kLeastPauses = 6;
+    static constexpr Duration kIntervalWindow = std::chrono::milliseconds(180); ///< a few passes of a loaded group
+    static constexpr Duration kIntervalExpiry = std::chrono::milliseconds(2500); ///< longer than callers wait for the next event of a stream
+    static constexpr unsigned kMinIntervals = 6;
     static constexpr double kMaxCeiling = 1.5; ///< runners queue about two requests for each slot; half a slot's worth still begins in time
     static constexpr double kMinCeiling = 0.25;
 
     GateDecision decide(const PoolLoad &load, TimePoint now, Random &random);
 
     /** A stream's pause, or its wait for the first event, took @p ratio times what is on time. */
-    void paceSeen(double ratio, TimePoint now);
-    /** A stream's events came @p pause apart; feeds recentPause(). */
-    void pauseSeen(Duration pause, Duration target, TimePoint now);
-    /** Mean pause between the events of the newest kPaceWindow; nothing if fewer than kLeastPauses were seen, or none for kPaceForgotten. */
-    std::optional<Duration> recentPause(TimePoint now) const;
+    void recordLatencyRatio(double ratio, TimePoint now);
+    /** A stream's events came @p pause apart; feeds meanEventInterval(). */
+    void recordEventInterval(Duration pause, Duration target, TimePoint now);
+    /** Mean pause between the events of the newest kIntervalWindow; nothing if fewer than kMinIntervals were seen, or none for kIntervalExpiry. */
+    std::optional<Duration> meanEventInterval(TimePoint now) const;
     /** The longest pause that is on time, as the newest stream's route says. */
     Duration gapTarget() const;
     /** A runner of the pool proved that it did not run a request. */
-    void refusalSeen(TimePoint now);
+    void recordRefusal(TimePoint now);
     /** A runner of the pool has begun to answer. */
-    void answerSeen(TimePoint now);
+    void recordAnswer(TimePoint now);
     /** A request goes out while no other is open. */
-    void workBegan(TimePoint now);
+    void recordWorkStart(TimePoint now);
 
     double ceiling() const;
     bool stalled() const;
     /** When a runner of the pool last gave a sign of work. */
     TimePoint lastAnswer() const;
     /** The later of that and of the time at which it last got work after having had none. */
-    TimePoint lastSign() const;
+    TimePoint lastActivity() const;
 
 private:
     Duration retryAfter(Duration base, Random &random) const;
@@ -87,9 +87,9 @@
     unsigned m_refusals = 0; ///< in a row
     TimePoint m_nextProbe{};
     TimePoint m_lastAnswer{};
-    TimePoint m_workBegan{};
+    TimePoint m_workStartedAt{};
     TimePoint m_windowBegan{};
-    std::deque<std::pair<TimePoint, Duration>> m_pauses; ///< of the last kPaceWindow
+    std::deque<std::pair<TimePoint, Duration>> m_pauses; ///< of the last kIntervalWindow
     Duration m_pauseSum{0};
     Duration m_gapTarget{0};
     unsigned m_seen = 0;
--- a/fulmarlink/runnerdirectory.cpp
+++ b/fulmarlink/runnerdirectory.cpp
@@ -177,7 +177,7 @@
     }
 }
 
-void RunnerDirectory::finished(TimePoint now, NodeId id, RunnerVerdict verdict)
+void RunnerDirectory::finished(TimePoint now, NodeId id, DispatchOutcome verdict)
 {
     const std::lock_guard lock(m_mutex);
     const auto it = m_runners.find(id);
@@ -186,11 +186,11 @@
     }
     Runner &runner = it->second;
     runner.ownInFlight -= runner.ownInFlight > 0 ? 1 : 0;
-    if (verdict == RunnerVerdict::Good) {
+    if (verdict == DispatchOutcome::Success) {
         runner.errorsInRow = 0;
         runner.ejections = 0;
     }
-    if (verdict == RunnerVerdict::Error && ++runner.errorsInRow >= m_options.errorsToEject) {
+    if (verdict == DispatchOutcome::Error && ++runner.errorsInRow >= m_options.errorsToEject) {
         eject(now, runner);
     }
 }
@@ -229,7 +229,7 @@
     return it == m_runners.end() ? std::nullopt : std::optional(it->second.host);
 }
 
-std::vector<HostInfo> RunnerDirectory::hostsOf(std::string_view role) const
+std::vector<HostInfo> RunnerDirectory::hostsWithRole(std::string_view role) const
 {
     std::vector<HostInfo> result;
     const std::lock_guard lock(m_mutex);
@@ -257,7 +257,7 @@
     return result;
 }
 
-std::vector<NodeId> RunnerDirectory::relinkCandidates(TimePoint now)
+std::vector<NodeId> RunnerDirectory::reconnectCandidates(TimePoint now)
 {
     std::vector<NodeId> result;
     const std::lock_guard lock(m_mutex);
@@ -273,7 +273,7 @@
     return result;
 }
 
-bool RunnerDirectory::dropped(NodeId id) const
+bool RunnerDirectory::isUnlisted(NodeId id) const
 {
     const std::lock_guard lock(m_mutex);
     const auto it = m_runners.find(id);
--- a/fulmarlink/runnerdirectory.h
+++ b/fulmarlink/runnerdirectory.h
@@ -27,8 +27,8 @@
 };
 
 /** How a dispatch ended, for outlier ejection. */
-enum class RunnerVerdict : std::uint8_t {
-    Good,
+enum class DispatchOutcome : std::uint8_t {
+    Success,
     Busy, ///< an early refusal: not an error
     Error, ///< broke, lost or unreachable
 };
@@ -60,7 +60,7 @@
      * or for the last attempt, when their fresh reports show the shortest queue. */
     std::optional<NodeId> pick(std::string_view pool, const PickContext &context, std::span<const NodeId> tried);
     void started(NodeId id);
-    void finished(TimePoint now, NodeId id, RunnerVerdict verdict);
+    void finished(TimePoint now, NodeId id, DispatchOutcome verdict);
 
     bool hasPool(std::string_view pool) const;
     /** The incarnation behind the open link, 0 if there is none. */
@@ -68,13 +68,13 @@
     RunnerState state(TimePoint now, NodeId id) const;
     std::optional<HostInfo> host(NodeId id) const;
     /** All nodes of the list with @p role, sorted by name. */
-    std::vector<HostInfo> hostsOf(std::string_view role) const;
+    std::vector<HostInfo> hostsWithRole(std::string_view role) const;
     /** All runners of the list. */
     std::vector<HostInfo> runners() const;
     /** Runners that said they leave and are listed as live: a link to each shows when a new incarnation is there. At most once an interval. */
-    std::vector<NodeId> relinkCandidates(TimePoint now);
+    std::vector<NodeId> reconnectCandidates(TimePoint now);
     /** True once a non-empty list is known and does not have @p id. */
-    bool dropped(NodeId id) const;
+    bool isUnlisted(NodeId id) const;
 
 private:
     struct Runner {
--- a/fulmarlink/signalwatch.cpp
+++ b/fulmarlink/signalwatch.cpp
@@ -86,7 +86,7 @@
     if (!m_state.signals.markLeaving(incarnation)) {
         return;
     }
-    m_state.connections->drop(target.id);
+    m_state.connections->closeIdleTo(target.id);
     logChange("runner-leaving",
               {{"target", incarnation.id},
                {"born", std::to_string(incarnation.born)},
--- a/fulmarlink/targetconnections.cpp
+++ b/fulmarlink/targetconnections.cpp
@@ -72,9 +72,9 @@
     }
 }
 
-void TargetConnections::setMost(const std::string &pool, unsigned most, unsigned hosts)
+void TargetConnections::setConnectionLimit(const std::string &pool, unsigned most, unsigned hosts)
 {
-    const auto part = static_cast<std::size_t>(most * kKeptShare / std::max(1U, hosts));
+    const auto part = static_cast<std::size_t>(most * kIdleShare / std::max(1U, hosts));
     m_mostKept[pool] = most == 0 ? kMaxIdlePerTarget : std::min(part, kMaxIdlePerTarget);
 }
 
@@ -84,7 +84,7 @@
     return it == m_mostKept.end() ? kMaxIdlePerTarget : it->second;
 }
 
-void TargetConnections::drop(const std::string &targetId)
+void TargetConnections::closeIdleTo(const std::string &targetId)
 {
     m_idle.erase(targetId);
 }
--- a/fulmarlink/targetconnections.h
+++ b/fulmarlink/targetconnections.h
@@ -50,7 +50,7 @@
     static constexpr Duration kDefaultIdle = std::chrono::seconds(4);
     static constexpr std::size_t kMaxIdlePerTarget = 16;
     /** Of the connections that a runner takes from all hosts together; the rest is for those in use. */
-    static constexpr double kKeptShare = 0.8;
+    static constexpr double kIdleShare = 0.8;
 
     TargetConnections(boost::asio::any_io_executor executor, const Clock &clock, Counters &counters);
 
@@ -59,9 +59,9 @@
     /** Keeps a connection whose last answer was whole. */
     void release(std::shared_ptr<TargetConnection> connection);
     /** A runner of @p pool takes @p most connections from @p hosts together, 0: unknown; this host keeps no more than its part of them. */
-    void setMost(const std::string &pool, unsigned most, unsigned hosts);
+    void setConnectionLimit(const std::string &pool, unsigned most, unsigned hosts);
     /** Closes what is kept to a runner that has started again: it knows none of them. */
-    void drop(const std::string &targetId);
+    void closeIdleTo(const std::string &targetId);
     /** Closes what is kept to runners that are no longer listed, and what has been idle for too long. */
     void sweep(const TargetTable &targets);
 
--- a/fulmarlink/targettable.cpp
+++ b/fulmarlink/targettable.cpp
@@ -17,7 +17,7 @@
 TargetChanges TargetTable::setTargets(const std::vector<TargetInfo> &list, TimePoint now)
 {
     TargetChanges changes;
-    const bool afterOutage = m_listedAt && now - *m_listedAt > m_options.outage;
+    const bool afterOutage = m_listedAt && now - *m_listedAt > m_options.outageGap;
     m_listedAt = now;
     std::set<std::string> present;
     for (const TargetInfo &info : list) {
@@ -47,7 +47,7 @@
         if (afterOutage && state.listed && !state.info.leaving && !state.missingSince) {
             state.missingSince = now;
         }
-        const bool lapsed = state.missingSince && now - *state.missingSince < m_options.lapseGrace;
+        const bool lapsed = state.missingSince && now - *state.missingSince < m_options.missingGrace;
         if (state.listed && !lapsed) {
             state.listed = false;
             changes.gone.push_back(it->first);
@@ -71,7 +71,7 @@
 
 bool TargetTable::usable(const State &state, TimePoint now) const
 {
-    const bool lapsed = state.missingSince && now - *state.missingSince >= m_options.lapseGrace;
+    const bool lapsed = state.missingSince && now - *state.missingSince >= m_options.missingGrace;
     const bool listedLeaving = state.info.leaving && !mutated(Mutation::PickLeaving);
     const bool saidLeaving = m_signals != nullptr && m_signals->isLeaving({state.info.id, state.info.born}) && !mutated(Mutation::IgnoreLeavingAnswer);
     return state.listed && !listedLeaving && !saidLeaving && !lapsed;
@@ -115,10 +115,10 @@
 {
     double others = 0;
     if (state.othersAt) {
-        const double age = std::chrono::duration<double>(now - *state.othersAt) / std::chrono::duration<double>(m_options.loadTrust);
+        const double age = std::chrono::duration<double>(now - *state.othersAt) / std::chrono::duration<double>(m_options.loadFreshFor);
         others = state.others * std::clamp(2 - age, 0.0, 1.0);
     }
-    const double zone = state.info.zone == m_options.zone ? 0 : kOtherZoneLoad;
+    const double zone = state.info.zone == m_options.zone ? 0 : kRemoteZonePenalty;
     return (state.own + others + zone) / std::max(1U, state.info.slots);
 }
 
@@ -138,9 +138,9 @@
         // A request that was refused before goes to runners that are known to take work.
         const bool slowStart = m_signals != nullptr && m_signals->inSlowStart({id, state.info.born}, now);
         const bool onProbation = !tried.empty() && (slowStart || state.refusals.hasRecentRefusals());
-        const bool passedOver = state.ejectedUntil > now || state.refusals.isBackingOff(now) || onProbation || (state.slow && !mutated(Mutation::SendToSlow));
-        const std::pair key(passedOver, score(state, now));
-        const std::pair bestKey(best.candidate.passedOver, best.candidate.load);
+        const bool deprioritized = state.ejectedUntil > now || state.refusals.isBackingOff(now) || onProbation || (state.slow && !mutated(Mutation::SendToSlow));
+        const std::pair key(deprioritized, score(state, now));
+        const std::pair bestKey(best.candidate.deprioritized, best.candidate.load);
         if (best.ties > 0 && key > bestKey) {
             continue;
         }
@@ -149,7 +149,7 @@
             continue;
         }
         best.candidate.target = &state.info;
-        best.candidate.passedOver = key.first;
+        best.candidate.deprioritized = key.first;
         best.candidate.load = key.second;
     }
     std::vector<TargetCandidate> result;
@@ -164,7 +164,7 @@
 {
     const std::vector<TargetCandidate> all = candidates(pool, tried, now, random);
     const auto best = std::ranges::min_element(all, {}, [](const TargetCandidate &candidate) {
-        return std::pair(candidate.passedOver, candidate.load);
+        return std::pair(candidate.deprioritized, candidate.load);
     });
     return best == all.end() ? nullptr : best->target;
 }
@@ -175,13 +175,13 @@
     return it == m_states.end() || !it->second.listed ? nullptr : &it->second.info;
 }
 
-bool TargetTable::mayTake(const std::string &id, TimePoint now) const
+bool TargetTable::isUsable(const std::string &id, TimePoint now) const
 {
     const auto it = m_states.find(id);
     return it != m_states.end() && usable(it->second, now);
 }
 
-void TargetTable::sent(const std::string &id)
+void TargetTable::requestSent(const std::string &id)
 {
     const auto it = m_states.find(id);
     if (it != m_states.end()) {
@@ -189,7 +189,7 @@
     }
 }
 
-void TargetTable::ended(const std::string &id)
+void TargetTable::requestEnded(const std::string &id)
 {
     const auto it = m_states.find(id);
     if (it == m_states.end() || it->second.own == 0) {
@@ -212,7 +212,7 @@
     it->second.othersAt = now;
 }
 
-void TargetTable::heard(const std::string &id, TimePoint now)
+void TargetTable::dataReceived(const std::string &id, TimePoint now)
 {
     const auto it = m_states.find(id);
     if (it != m_states.end()) {
@@ -220,13 +220,13 @@
     }
 }
 
-TimePoint TargetTable::lastHeard(const std::string &id) const
+TimePoint TargetTable::lastReceived(const std::string &id) const
 {
     const auto it = m_states.find(id);
     return it == m_states.end() ? TimePoint{} : it->second.heardAt;
 }
 
-void TargetTable::succeeded(const std::string &id)
+void TargetTable::requestSucceeded(const std::string &id)
 {
     const auto it = m_states.find(id);
     if (it != m_states.end()) {
@@ -235,7 +235,7 @@
     }
 }
 
-bool TargetTable::failed(const std::string &id, TimePoint now)
+bool TargetTable::requestFailed(const std::string &id, TimePoint now)
 {
     const auto it = m_states.find(id);
     if (it == m_states.end() || ++it->second.failures < kFailuresToEject) {
@@ -245,7 +245,7 @@
     return true;
 }
 
-bool TargetTable::refused(const std::string &id, const std::optional<TargetLoad> &load, TimePoint now)
+bool TargetTable::requestRefused(const std::string &id, const std::optional<TargetLoad> &load, TimePoint now)
 {
     const auto it = m_states.find(id);
     const bool full = it == m_states.end() || !load || load->waiting > 0 || load->running >= it->second.info.slots;
@@ -255,7 +255,7 @@
     return !full;
 }
 
-void TargetTable::took(const std::string &id)
+void TargetTable::requestAccepted(const std::string &id)
 {
     const auto it = m_states.find(id);
     if (it != m_states.end()) {
--- a/fulmarlink/targettable.h
+++ b/fulmarlink/targettable.h
@@ -37,10 +37,10 @@
 
 struct TargetTableOptions {
     std::string zone; ///< of this host
-    Duration lapseGrace = std::chrono::milliseconds(1500); ///< a runner that an outage made vanish counts as there for so long after it
-    Duration outage = std::chrono::milliseconds(2500); ///< a list that comes after a gap as long as this ends an outage
+    Duration missingGrace = std::chrono::milliseconds(1500); ///< a runner that an outage made vanish counts as there for so long after it
+    Duration outageGap = std::chrono::milliseconds(2500); ///< a list that comes after a gap as long as this ends an outage
     Duration ejectFor = std::chrono::milliseconds(1500); ///< after kFailuresToEject failures in a row
-    Duration loadTrust = std::chrono::milliseconds(1200); ///< a reported load counts in full until then and not at all at twice that age
+    Duration loadFreshFor = std::chrono::milliseconds(1200); ///< a reported load counts in full until then and not at all at twice that age
 };
 
 /** The best runner of one rank group, as pick() compares them. */
@@ -48,7 +48,7 @@
     std::string group; ///< empty: of the runners in no group
     const TargetInfo *target = nullptr;
     double load = 0; ///< requests for each of its slots
-    bool passedOver = false; ///< it failed lately or is slow, as all of its group are
+    bool deprioritized = false; ///< it failed lately or is slow, as all of its group are
     unsigned runners = 0; ///< of the group that may take work
 };
 
@@ -92,7 +92,7 @@
 public:
     static constexpr unsigned kFailuresToEject = 3;
     /** Load that a runner in another zone seems to have more, in requests; breaks ties towards the own zone. */
-    static constexpr double kOtherZoneLoad = 0.25;
+    static constexpr double kRemoteZonePenalty = 0.25;
 
     explicit TargetTable(TargetTableOptions options);
 
@@ -108,22 +108,22 @@
     void setSignals(const RunnerSignals *signals);
     /** Null if the runner is not listed. */
     const TargetInfo *find(const std::string &id) const;
-    bool mayTake(const std::string &id, TimePoint now) const;
+    bool isUsable(const std::string &id, TimePoint now) const;
 
-    void sent(const std::string &id);
-    void ended(const std::string &id);
+    void requestSent(const std::string &id);
+    void requestEnded(const std::string &id);
     void loadReported(const std::string &id, TargetLoad load, TimePoint now);
     /** Bytes of an answer came from the runner. */
-    void heard(const std::string &id, TimePoint now);
+    void dataReceived(const std::string &id, TimePoint now);
     /** When that was last; the epoch if never. */
-    TimePoint lastHeard(const std::string &id) const;
-    void succeeded(const std::string &id);
+    TimePoint lastReceived(const std::string &id) const;
+    void requestSucceeded(const std::string &id);
     /** The runner turned a request away; @p load: as it told with that. True if that speaks against it, and not of full slots. */
-    bool refused(const std::string &id, const std::optional<TargetLoad> &load, TimePoint now);
+    bool requestRefused(const std::string &id, const std::optional<TargetLoad> &load, TimePoint now);
     /** The runner has begun to answer a request. */
-    void took(const std::string &id);
+    void requestAccepted(const std::string &id);
     /** A failure that speaks against the runner. True if it is passed over from now on. */
-    bool failed(const std::string &id, TimePoint now);
+    bool requestFailed(const std::string &id, TimePoint now);
 
     /** The runners of @p pool and @p group that work far below their speed; the others of that group don't. */
     void setSlow(std::string_view pool, std::string_view group, const std::vector<std::string> &ids);
--- a/testing/admission_test.cpp
+++ b/testing/admission_test.cpp
@@ -60,7 +60,7 @@
 {
     TwoGroups groups;
     for (unsigned i = 0; i < PoolGate::kRefusalsToStall; ++i) {
-        groups.state.pool("p").gate("north").refusalSeen(groups.clock.now());
+        groups.state.pool("p").gate("north").recordRefusal(groups.clock.now());
     }
     EXPECT_EQ(groups.share("north", 4), 0U);
     groups.clock.time += PoolGate::kProbeInterval + 10ms;
@@ -72,7 +72,7 @@
     TwoGroups groups;
     for (const char *group : {"north", "south"}) {
         for (unsigned i = 0; i < PoolGate::kRefusalsToStall; ++i) {
-            groups.state.pool("p").gate(group).refusalSeen(groups.clock.now());
+            groups.state.pool("p").gate(group).recordRefusal(groups.clock.now());
         }
     }
     double both = 0;
--- a/testing/expertmapcontroller_test.cpp
+++ b/testing/expertmapcontroller_test.cpp
@@ -68,9 +68,9 @@
             return;
         }
         PoolGate &gate = state->pool("model").gate("g");
-        gate.answerSeen(clock.now());
+        gate.recordAnswer(clock.now());
         for (unsigned i = 0; i < kStreams; ++i) {
-            gate.pauseSeen(length, 100ms, clock.now());
+            gate.recordEventInterval(length, 100ms, clock.now());
         }
     }
 
--- a/testing/gatewaymutation_test.cpp
+++ b/testing/gatewaymutation_test.cpp
@@ -82,7 +82,7 @@
     info.pool = "p";
     info.leaving = true;
     targets.setTargets({info}, at(0));
-    return !targets.mayTake("a", at(0));
+    return !targets.isUsable("a", at(0));
 }
 
 bool repeatsAreBounded()
@@ -124,7 +124,7 @@
     other.id = "b";
     targets.setTargets({slow, other}, at(0));
     targets.setSlow("p", "", {"a"});
-    targets.sent("b");
+    targets.requestSent("b");
     Random random(1);
     return targets.pick("p", {}, at(0), random)->id == "b";
 }
@@ -132,11 +132,11 @@
 bool doomedStreamsAreRefused()
 {
     PoolGate gate;
-    for (unsigned i = 0; i < PoolGate::kLeastPauses; ++i) {
-        gate.pauseSeen(std::chrono::milliseconds(1000), std::chrono::milliseconds(150), at(0));
+    for (unsigned i = 0; i < PoolGate::kMinIntervals; ++i) {
+        gate.recordEventInterval(std::chrono::milliseconds(1000), std::chrono::milliseconds(150), at(0));
     }
     Random random(1);
-    const PoolLoad load{.runners = 2, .leastLoad = 0.1, .events = 20, .timeLeft = std::chrono::milliseconds(8000)};
+    const PoolLoad load{.runners = 2, .lowestLoad = 0.1, .events = 20, .timeLeft = std::chrono::milliseconds(8000)};
     return !gate.decide(load, at(10), random).admitted;
 }
 
--- a/testing/harness/twogroups.h
+++ b/testing/harness/twogroups.h
@@ -35,17 +35,17 @@
     void pace(const std::string &group, std::chrono::milliseconds pause)
     {
         PoolGate &gate = state.pool("p").gate(group);
-        for (unsigned i = 0; i < PoolGate::kLeastPauses; ++i) {
-            gate.pauseSeen(pause, std::chrono::milliseconds(120), clock.now());
+        for (unsigned i = 0; i < PoolGate::kMinIntervals; ++i) {
+            gate.recordEventInterval(pause, std::chrono::milliseconds(120), clock.now());
         }
-        gate.answerSeen(clock.now());
+        gate.recordAnswer(clock.now());
     }
 
     /** A request is open at the runner. */
     void open(const std::string &id)
     {
-        state.pool("p").gate(state.targets.groupOf(id)).workBegan(clock.now());
-        state.targets.sent(id);
+        state.pool("p").gate(state.targets.groupOf(id)).recordWorkStart(clock.now());
+        state.targets.requestSent(id);
     }
 
     Admission ask(const std::set<std::string> &tried = {})
@@ -60,7 +60,7 @@
         for (unsigned i = 0; i < count; ++i) {
             const Admission admission = ask();
             if (admission.target) {
-                state.targets.sent(admission.target->id);
+                state.targets.requestSent(admission.target->id);
                 sum += admission.group == group ? 1 : 0;
             }
         }
--- a/testing/poolgate_test.cpp
+++ b/testing/poolgate_test.cpp
@@ -18,7 +18,7 @@
     return TimePoint(std::chrono::seconds(500) + milliseconds(ms));
 }
 
-constexpr PoolLoad kHalf{.runners = 4, .leastLoad = 0.5};
+constexpr PoolLoad kHalf{.runners = 4, .lowestLoad = 0.5};
 
 } // namespace
 
@@ -27,14 +27,14 @@
     PoolGate gate;
     Random random(1);
     for (int i = 0; i < 6000; ++i) {
-        gate.paceSeen(1.2, at(i * 2));
+        gate.recordLatencyRatio(1.2, at(i * 2));
     }
     const double lowest = gate.ceiling();
     EXPECT_LT(lowest, 0.5);
     EXPECT_GE(lowest, PoolGate::kMinCeiling);
     EXPECT_EQ(gate.decide(kHalf, at(12'000), random).refusal, ResultCode::PoolOverloaded);
     for (int i = 0; i < 2000; ++i) {
-        gate.paceSeen(0.5, at(12'000 + i * 2));
+        gate.recordLatencyRatio(0.5, at(12'000 + i * 2));
     }
     EXPECT_GT(gate.ceiling(), lowest);
     EXPECT_LT(gate.ceiling(), lowest + 0.5);
@@ -44,7 +44,7 @@
 {
     PoolGate gate;
     for (int i = 0; i < 5000; ++i) {
-        gate.paceSeen(i % 20 == 0 ? 2.0 : 0.4, at(i * 2));
+        gate.recordLatencyRatio(i % 20 == 0 ? 2.0 : 0.4, at(i * 2));
     }
     EXPECT_EQ(gate.ceiling(), PoolGate::kMaxCeiling);
 }
@@ -54,7 +54,7 @@
     PoolGate gate;
     Random random(1);
     for (unsigned i = 0; i < PoolGate::kRefusalsToStall; ++i) {
-        gate.refusalSeen(at(0));
+        gate.recordRefusal(at(0));
     }
     ASSERT_TRUE(gate.stalled());
     unsigned admitted = 0;
@@ -68,7 +68,7 @@
     }
     EXPECT_LE(admitted, 10U);
     EXPECT_GE(admitted, 8U);
-    gate.answerSeen(at(1500));
+    gate.recordAnswer(at(1500));
     EXPECT_TRUE(gate.decide(kHalf, at(1501), random).admitted);
 }
 
@@ -90,16 +90,16 @@
 TEST(PoolGate, ThePaceIsTheMeanOfTheLastPauses)
 {
     PoolGate gate;
-    EXPECT_FALSE(gate.recentPause(at(0)));
+    EXPECT_FALSE(gate.meanEventInterval(at(0)));
     for (int i = 0; i < 10; ++i) {
-        gate.pauseSeen(milliseconds(40), milliseconds(120), at(i));
+        gate.recordEventInterval(milliseconds(40), milliseconds(120), at(i));
     }
-    EXPECT_EQ(gate.recentPause(at(20)), Duration(milliseconds(40)));
+    EXPECT_EQ(gate.meanEventInterval(at(20)), Duration(milliseconds(40)));
     for (int i = 0; i < 10; ++i) {
-        gate.pauseSeen(milliseconds(120), milliseconds(120), at(300 + i));
+        gate.recordEventInterval(milliseconds(120), milliseconds(120), at(300 + i));
     }
-    EXPECT_EQ(gate.recentPause(at(320)), Duration(milliseconds(120)));
-    EXPECT_FALSE(gate.recentPause(at(900) + PoolGate::kPaceForgotten));
+    EXPECT_EQ(gate.meanEventInterval(at(320)), Duration(milliseconds(120)));
+    EXPECT_FALSE(gate.meanEventInterval(at(900) + PoolGate::kIntervalExpiry));
 }
 
 namespace
@@ -111,8 +111,8 @@
     constexpr int kStreams = 8;
     for (int ms = from; ms <= to; ms += pause) {
         for (int i = 0; i < kStreams; ++i) {
-            gate.answerSeen(at(ms));
-            gate.pauseSeen(milliseconds(pause), milliseconds(150), at(ms));
+            gate.recordAnswer(at(ms));
+            gate.recordEventInterval(milliseconds(pause), milliseconds(150), at(ms));
         }
     }
 }
@@ -123,9 +123,9 @@
 {
     PoolGate gate;
     playPauses(gate, 400, 0, 2000);
-    ASSERT_TRUE(gate.recentPause(at(2390)));
-    EXPECT_EQ(*gate.recentPause(at(2390)), milliseconds(400));
-    EXPECT_FALSE(gate.recentPause(at(6000))) << "nobody knows the pace of a group that has been idle";
+    ASSERT_TRUE(gate.meanEventInterval(at(2390)));
+    EXPECT_EQ(*gate.meanEventInterval(at(2390)), milliseconds(400));
+    EXPECT_FALSE(gate.meanEventInterval(at(6000))) << "nobody knows the pace of a group that has been idle";
 }
 
 TEST(PoolGate, TheNewestPassesCountAlone)
@@ -133,7 +133,7 @@
     PoolGate gate;
     playPauses(gate, 60, 0, 1200);
     playPauses(gate, 150, 1350, 1800);
-    EXPECT_EQ(*gate.recentPause(at(1810)), milliseconds(150));
+    EXPECT_EQ(*gate.meanEventInterval(at(1810)), milliseconds(150));
 }
 
 // One rank that works at a twelfth of its speed makes passes of 1.2 s for all: a usual stream
@@ -143,7 +143,7 @@
     PoolGate gate;
     Random random(1);
     playPauses(gate, 1200, 0, 3600);
-    PoolLoad usual{.runners = 4, .leastLoad = 0.2, .events = 19, .timeLeft = milliseconds(8000)};
+    PoolLoad usual{.runners = 4, .lowestLoad = 0.2, .events = 19, .timeLeft = milliseconds(8000)};
     const GateDecision refused = gate.decide(usual, at(3700), random);
     EXPECT_EQ(refused.refusal, ResultCode::PoolTooSlow);
     EXPECT_GT(refused.retryAfter, milliseconds(100));
--- a/testing/refusalbackoff_test.cpp
+++ b/testing/refusalbackoff_test.cpp
@@ -45,7 +45,7 @@
     SimulationResult result;
     for (TimePoint now = kStart; now < kStart + 10s; now += 20ms) {
         while (!running.empty() && running.begin()->first <= now) {
-            table.ended(running.begin()->second);
+            table.requestEnded(running.begin()->second);
             running.erase(running.begin());
         }
         std::set<std::string> tried;
@@ -57,12 +57,12 @@
             const bool refuses = std::stoul(target->id.substr(2)) < refusing && std::bernoulli_distribution(share)(random);
             if (refuses) {
                 ++result.refused;
-                table.refused(target->id, TargetLoad{}, now);
+                table.requestRefused(target->id, TargetLoad{}, now);
                 continue;
             }
             served = true;
-            table.took(target->id);
-            table.sent(target->id);
+            table.requestAccepted(target->id);
+            table.requestSent(target->id);
             running.emplace(now + 800ms, target->id);
         }
         result.unserved += served ? 0 : 1;
@@ -119,11 +119,11 @@
 {
     TargetTable table({});
     table.setTargets({{.id = "i-0", .pool = "p", .address = {}, .zone = {}, .slots = kSlots}}, kStart);
-    EXPECT_FALSE(table.refused("i-0", TargetLoad{kSlots, 0}, kStart));
-    EXPECT_FALSE(table.refused("i-0", TargetLoad{3, 1}, kStart)) << "its memory is full";
-    EXPECT_FALSE(table.refused("i-0", std::nullopt, kStart)) << "it reports no load";
-    EXPECT_FALSE(table.refused("i-1", TargetLoad{}, kStart)) << "it is not listed";
-    EXPECT_TRUE(table.refused("i-0", TargetLoad{3, 0}, kStart));
+    EXPECT_FALSE(table.requestRefused("i-0", TargetLoad{kSlots, 0}, kStart));
+    EXPECT_FALSE(table.requestRefused("i-0", TargetLoad{3, 1}, kStart)) << "its memory is full";
+    EXPECT_FALSE(table.requestRefused("i-0", std::nullopt, kStart)) << "it reports no load";
+    EXPECT_FALSE(table.requestRefused("i-1", TargetLoad{}, kStart)) << "it is not listed";
+    EXPECT_TRUE(table.requestRefused("i-0", TargetLoad{3, 0}, kStart));
 }
 
 TEST(RefusalBackoffMutation, IgnoringRefusalsFailsTheRefusalBound)
--- a/testing/targettable_test.cpp
+++ b/testing/targettable_test.cpp
@@ -44,7 +44,7 @@
     TargetTable targets = table();
     targets.setTargets({target("a"), target("b", "far")}, at(0));
     EXPECT_EQ(picked(targets, at(0)), "a");
-    targets.sent("a");
+    targets.requestSent("a");
     EXPECT_EQ(picked(targets, at(0)), "b");
     targets.loadReported("b", {3, 2}, at(0));
     EXPECT_EQ(picked(targets, at(0)), "a");
@@ -56,7 +56,7 @@
     TargetTable targets = table();
     targets.setTargets({target("a"), target("b")}, at(0));
     targets.loadReported("a", {4, 0}, at(0));
-    targets.sent("b");
+    targets.requestSent("b");
     EXPECT_EQ(picked(targets, at(100)), "b");
     EXPECT_EQ(picked(targets, at(4000)), "a");
 }
@@ -69,7 +69,7 @@
     EXPECT_EQ(changes.leaving, std::vector<std::string>{"a"});
     EXPECT_EQ(changes.gone, std::vector<std::string>{"b"});
     EXPECT_EQ(picked(targets, at(700)), "");
-    EXPECT_FALSE(targets.mayTake("a", at(700)));
+    EXPECT_FALSE(targets.isUsable("a", at(700)));
     EXPECT_EQ(targets.available("p", at(700)), 0U);
 }
 
@@ -78,9 +78,9 @@
     TargetTable targets = table();
     targets.setTargets({target("a"), target("b")}, at(0));
     targets.setTargets({target("a")}, at(6000)); // the first list after an outage
-    EXPECT_TRUE(targets.mayTake("b", at(6500)));
+    EXPECT_TRUE(targets.isUsable("b", at(6500)));
     targets.setTargets({target("a")}, at(7600));
-    EXPECT_FALSE(targets.mayTake("b", at(7600)));
+    EXPECT_FALSE(targets.isUsable("b", at(7600)));
 }
 
 TEST(TargetTable, ALeavingRunnerThatVanishesInAnOutageStaysAway)
@@ -88,7 +88,7 @@
     TargetTable targets = table();
     targets.setTargets({target("a", "near", true)}, at(0));
     targets.setTargets({}, at(6000));
-    EXPECT_FALSE(targets.mayTake("a", at(6100)));
+    EXPECT_FALSE(targets.isUsable("a", at(6100)));
 }
 
 TEST(TargetTable, ARunnerThatFailsInARowIsPassedOverUnlessAllAre)
@@ -96,12 +96,12 @@
     TargetTable targets = table();
     targets.setTargets({target("a"), target("b")}, at(0));
     for (unsigned i = 0; i < TargetTable::kFailuresToEject; ++i) {
-        targets.failed("a", at(0));
+        targets.requestFailed("a", at(0));
     }
-    targets.sent("b");
+    targets.requestSent("b");
     EXPECT_EQ(picked(targets, at(10)), "b");
     EXPECT_EQ(picked(targets, at(10), {"b"}), "a");
-    targets.succeeded("a");
+    targets.requestSucceeded("a");
     EXPECT_EQ(picked(targets, at(10)), "a");
 }
 
@@ -109,10 +109,10 @@
 {
     TargetTable targets = table();
     targets.setTargets({target("a")}, at(0));
-    targets.sent("a");
+    targets.requestSent("a");
     targets.setTargets({}, at(500));
     EXPECT_EQ(targets.find("a"), nullptr);
-    targets.ended("a");
+    targets.requestEnded("a");
     EXPECT_EQ(targets.size(), 0U);
 }
 
@@ -121,7 +121,7 @@
     TargetTable targets = table();
     targets.setTargets({target("a"), target("b")}, at(0));
     targets.setSlow("p", "", {"a"});
-    targets.sent("b");
+    targets.requestSent("b");
     EXPECT_EQ(picked(targets, at(0)), "b");
     EXPECT_EQ(picked(targets, at(0), {"b"}), "a") << "a slow runner is better than none";
     targets.setSlow("other", "", {});
