--- a/fulmarlink/admission.cpp
+++ b/fulmarlink/admission.cpp
@@ -12,44 +12,44 @@
 namespace
 {
 
-constexpr double kEmptyLoad = 0.05; ///< of a runner without requests, so that the pace counts there too
+constexpr double kIdleRunnerLoad = 0.05; ///< added to every load, so that the pace also counts for runners without requests
 /**
- * Shorter pauses than this share of what is on time are all the same to callers; where a group's passes are longer its load counts for as much more.
- * A group that waits for a slow rank, or whose map does not fit, so gets less until it is well again: on heavy days with a slow rank 0.07 of the
- * worth more, by 8 plays with and without; 0.3 instead of 0.7 is 0.025 worse there, and no other day cares.
+ * Event intervals below this share of the target make no difference to callers; above it a group's load is weighted by its interval.
+ * A group that waits for a slow rank, or whose map does not fit, thus gets fewer requests until it recovers. Under heavy load with a slow
+ * rank this gained 0.07 of the score in 8 runs with and without it; 0.3 instead of 0.7 lost 0.025 there and made no difference under other loads.
  */
-constexpr double kEasyPace = 0.7;
+constexpr double kPaceFloor = 0.7;
 
 struct RankedCandidate {
     TargetCandidate candidate;
-    bool standsStill = false;
-    double cost = 0; ///< of its load, by how long the group's passes take
+    bool noProgress = false;
+    double cost = 0; ///< load weighted by the group's pace
     std::uint64_t tieBreak = 0;
 
     auto key() const
     {
-        return std::tuple(standsStill && !mutated(Mutation::AskStillGroup), candidate.deprioritized, cost, tieBreak);
+        return std::tuple(noProgress && !mutated(Mutation::AskStillGroup), candidate.deprioritized, cost, tieBreak);
     }
 };
 
-/** The group's mean pause as a share of what is on time. */
-double paceOf(const PoolGate &gate, TimePoint now)
+/** The group's mean event interval divided by its target; 0 if unknown. */
+double relativePace(const PoolGate &gate, TimePoint now)
 {
-    const std::optional<Duration> pause = gate.meanEventInterval(now);
-    if (!pause || gate.gapTarget() <= Duration(0) || mutated(Mutation::IgnoreGroupPace)) {
+    const std::optional<Duration> interval = gate.meanEventInterval(now);
+    if (!interval || gate.gapTarget() <= Duration(0) || mutated(Mutation::IgnoreGroupPace)) {
         return 0;
     }
-    return std::chrono::duration<double>(*pause) / std::chrono::duration<double>(gate.gapTarget());
+    return std::chrono::duration<double>(*interval) / std::chrono::duration<double>(gate.gapTarget());
 }
 
-std::vector<RankedCandidate> ranked(GatewayState &state, const std::string &pool, const std::set<std::string> &tried, TimePoint now)
+std::vector<RankedCandidate> rankCandidates(GatewayState &state, const std::string &pool, const std::set<std::string> &tried, TimePoint now)
 {
     std::vector<RankedCandidate> result;
     for (TargetCandidate &candidate : state.targets.candidates(pool, tried, now, state.random)) {
-        const bool still = state.standsStill(pool, candidate.group, now);
-        const double pace = std::max(kEasyPace, paceOf(state.pool(pool).gate(candidate.group), now));
-        const double cost = (candidate.load + kEmptyLoad) * pace;
-        result.push_back({std::move(candidate), still, cost, state.random()});
+        const bool noProgress = state.standsStill(pool, candidate.group, now);
+        const double pace = std::max(kPaceFloor, relativePace(state.pool(pool).gate(candidate.group), now));
+        const double cost = (candidate.load + kIdleRunnerLoad) * pace;
+        result.push_back({std::move(candidate), noProgress, cost, state.random()});
     }
     std::ranges::sort(result, {}, &RankedCandidate::key);
     return result;
@@ -62,7 +62,7 @@
     const TimePoint now = state.clock.now();
     Admission result;
     bool refused = false;
-    for (const auto &[candidate, still, cost, tieBreak] : ranked(state, pool, tried, now)) {
+    for (const auto &[candidate, noProgress, cost, tieBreak] : rankCandidates(state, pool, tried, now)) {
         PoolGate &gate = state.pool(pool).gate(candidate.group);
         PoolLoad load;
         load.runners = candidate.runners;
@@ -98,7 +98,7 @@
 {
     const TimePoint now = state.clock.now();
     const BlockedRunners blocked = state.targets.blocked(pool, {}, now);
-    // Every host sends callers away at about the rate that this one does, and they come back at any host.
+    // All hosts refuse callers at about the same rate, and a caller may retry at any host.
     const double serviceSeconds = std::chrono::duration<double>(state.pool(pool).serviceTime.mean()).count();
     const double perSecond = (blocked.limitedPerSecond + blocked.slots / serviceSeconds) / state.signals.pacer.hostCount();
     const Duration soonest = blocked.nextRoom ? *blocked.nextRoom - now : Duration(0);
--- a/fulmarlink/admission.h
+++ b/fulmarlink/admission.h
@@ -13,39 +13,40 @@
 
 struct GatewayState;
 
-/** What a request needs of the group that takes it. */
+/** The properties of a request that decide on its admission. */
 struct RequestDemand {
     double events = 0; ///< as in PoolLoad
     Duration timeLeft{0}; ///< as in PoolLoad
-    bool admitted = false; ///< its pool took it before: only a stalled group is closed to it
+    bool admitted = false; ///< its pool admitted it before: only a stalled group refuses it
 };
 
-/** Where a request goes, or why nowhere. */
+/** The runner selected for a request, or why there is none. */
 struct Admission {
     std::optional<TargetInfo> target;
-    std::string group; ///< of the target, or of the group that has to say when to come back
+    std::string group; ///< the target's group, or the one whose refusal is returned
     GateDecision decision;
-    double load = 0; ///< of that group's best runner
-    double ceiling = 0; ///< of that group's gate
-    unsigned runners = 0; ///< of that group
+    double load = 0; ///< requests per slot of that group's best runner
+    double ceiling = 0; ///< load limit of that group's gate
+    unsigned runners = 0; ///< candidates in that group
 };
 
 /**
- * Chooses the group of a pool, then the rank. Groups are asked in this order: those that
- * move before those that stand still, those with sound ranks before others, then by the
- * load of their best rank, which counts for more where passes take long. So a group that has lost a rank costs only the requests that it
- * holds: its gate refuses after a few, and new ones go to the other groups.
+ * Selects a rank group of the pool and a rank in it. The gates of the groups are asked in
+ * this order: groups that make progress first, then groups whose best rank is healthy, then
+ * by the load of that rank, weighted by the group's event interval. A group that
+ * has lost a rank therefore costs only the requests that it holds: its gate refuses after a
+ * few refusals, and new requests go to the other groups.
  *
- * If all refuse, the answer is the refusal that lets the caller come back soonest. Where
- * only runners are left that want no request from here now it is RunnersBackingOff or
- * RunnersLimited, and blockedRetryAfter() tells when to come back.
+ * If all groups refuse, the result is the refusal with the shortest retry time. If the only
+ * runners left accept no request from this host now, it is RunnersBackingOff or
+ * RunnersLimited, and blockedRetryAfter() gives the retry time.
  */
 Admission admitToPool(GatewayState &state, const std::string &pool, const RequestDemand &need, const std::set<std::string> &tried);
 
-/** What a caller is told where @p blocked are all runners that are left. */
+/** The result code for a caller if only @p blocked runners are left. */
 ResultCode blockedResultCode(const BlockedRunners &blocked);
 
-/** For one more caller of @p pool that is sent away for that reason. */
+/** Schedules the retry of one more caller of @p pool that is refused for that reason; returns the delay. */
 Duration blockedRetryAfter(GatewayState &state, const std::string &pool);
 
 } // namespace fulmarlink
--- a/fulmarlink/pickers.cpp
+++ b/fulmarlink/pickers.cpp
@@ -1,14 +1,15 @@
-// The pickers. Baselines: random, round_robin, least_requests (the entry's own view),
-// two_choices (two random runners, the entry's own view; "the power of two choices").
+// The built-in pickers. Baselines, which use only this host's own request counts:
+// random, round_robin, least_requests and two_choices (the less loaded of two random
+// runners, "the power of two choices").
 //
-// reported_two: two choices on the load that rides on answers and probe replies, with
-// the entry's own requests since then added, because a report is stale the moment the
-// entry adds to it.
+// reported_two: two choices by the load reported with answers and probe replies. This
+// host's own requests since the report are added, because each of them makes the report
+// out of date.
 //
-// affinity: rendezvous hashing of the prompt's prefix with bounded load, after
-// "consistent hashing with bounded loads" (Mirrokni, Thorup, Zadimoghaddam): the first
-// runner in hash order whose load is within a factor of the mean of the others takes
-// the request; without a prefix it acts as reported_two.
+// affinity: rendezvous hashing of the prompt prefix with bounded load, after
+// "consistent hashing with bounded loads" (Mirrokni, Thorup, Zadimoghaddam). Selects the
+// first runner in hash order whose load is within a factor of the mean load; behaves as
+// reported_two if the request has no prefix.
 
 #include <algorithm>
 #include <limits>
@@ -22,9 +23,9 @@
 {
 
 constexpr double kAffinityLoadBound = 1.25;
-constexpr double kAffinityFreeShare = 0.7; ///< below this load a runner always keeps its prefixes
-constexpr unsigned kAffinityTries = 3;
-constexpr double kRemotePenalty = 0.15; ///< load that a runner in another zone must be better by
+constexpr double kAffinityMinBound = 0.7; ///< below this load a runner always keeps its prefixes, whatever the mean load
+constexpr unsigned kAffinityMaxTries = 3;
+constexpr double kRemotePenalty = 0.15; ///< added to the load of a runner in another zone
 constexpr Duration kLoadHalfLife = std::chrono::seconds(2);
 constexpr double kUnknownScore = 0.5;
 
@@ -78,7 +79,7 @@
 
 private:
     static constexpr std::size_t kUnset = std::numeric_limits<std::size_t>::max();
-    std::size_t m_next = kUnset; ///< starts at random, so that entries don't march in step
+    std::size_t m_next = kUnset; ///< random start, so that hosts don't send to the same runners in lock-step
 };
 
 class LeastRequestsPicker final : public Picker
@@ -132,7 +133,7 @@
         for (std::size_t i = 0; i < candidates.size(); ++i) {
             order.emplace_back(mixHash(context.prefixHash, candidates[i].id), i);
         }
-        const std::size_t tries = std::min<std::size_t>(kAffinityTries, order.size());
+        const std::size_t tries = std::min<std::size_t>(kAffinityMaxTries, order.size());
         std::ranges::partial_sort(order, order.begin() + static_cast<std::ptrdiff_t>(tries), std::greater<>());
         for (std::size_t i = 0; i < tries; ++i) {
             const Candidate &candidate = candidates[order[i].second];
@@ -150,7 +151,7 @@
         for (const Candidate &candidate : candidates) {
             sum += loadScore(candidate, now);
         }
-        return std::max(kAffinityFreeShare, kAffinityLoadBound * sum / static_cast<double>(candidates.size()));
+        return std::max(kAffinityMinBound, kAffinityLoadBound * sum / static_cast<double>(candidates.size()));
     }
 
     ReportedTwoPicker m_fallback;
@@ -178,9 +179,9 @@
     if (candidate.load.capacity == 0) {
         return kUnknownScore + candidate.ownInFlight / candidate.weight;
     }
-    // An old report fades towards "not known"; the entry's own requests always count.
-    const double halves = std::chrono::duration<double>(now - candidate.load.reportedAt) / kLoadHalfLife;
-    const double trust = 1 / (1 + halves);
+    // A report counts half at the age kLoadHalfLife and less later, in favour of kUnknownScore; own requests count at any age.
+    const double halfLives = std::chrono::duration<double>(now - candidate.load.reportedAt) / kLoadHalfLife;
+    const double trust = 1 / (1 + halfLives);
     const double reported = static_cast<double>(candidate.load.inFlight + candidate.load.queued) / candidate.load.capacity;
     const double own = static_cast<double>(candidate.ownInFlight) / candidate.load.capacity;
     return (trust * reported + (1 - trust) * std::max(own, kUnknownScore)) / candidate.weight;
--- a/fulmarlink/poolgate.cpp
+++ b/fulmarlink/poolgate.cpp
@@ -10,15 +10,15 @@
 namespace
 {
 
-constexpr Duration kWindow = std::chrono::milliseconds(400); ///< several passes of a loaded group, so that one long prompt does not move the ceiling
-constexpr unsigned kLeastSeen = 8; ///< pauses that a window must hold to say something
-constexpr double kLateShare = 0.1; ///< of a window's pauses; a stream with one late pause of 24 is late as a whole
-constexpr double kDecrease = 0.92;
-constexpr double kIncrease = 0.03;
-constexpr Duration kOverloadedRetry = std::chrono::milliseconds(350); ///< about the time in which a tenth of the streams in progress end
-constexpr Duration kStalledRetry = std::chrono::milliseconds(900); ///< groups form within 0.6 s of a rank's return
-constexpr Duration kTooSlowRetry
-    = std::chrono::milliseconds(1500); ///< an engine that slows a group down so far does it for seconds, and callers heed a third of their time
+constexpr Duration kCeilingWindow
+    = std::chrono::milliseconds(400); ///< several passes of a loaded group, so that a single long prompt does not change the ceiling
+constexpr unsigned kMinSamples = 8; ///< samples that a window needs before the ceiling is adjusted
+constexpr double kMaxLateShare = 0.1; ///< of a window's samples; low, since a single late interval of 24 makes a whole stream late
+constexpr double kCeilingDecreaseFactor = 0.92;
+constexpr double kCeilingIncrease = 0.03;
+constexpr Duration kOverloadedRetry = std::chrono::milliseconds(350); ///< about the time in which a tenth of the streams in progress finish
+constexpr Duration kStalledRetry = std::chrono::milliseconds(900); ///< a group forms within 0.6 s of a rank's return
+constexpr Duration kTooSlowRetry = std::chrono::milliseconds(1500); ///< an engine this slow stays slow for seconds, and callers heed a third of their time
 constexpr Duration kEmptyRetry = std::chrono::milliseconds(700);
 
 } // namespace
@@ -43,7 +43,7 @@
     if (load.lowestLoad >= m_ceiling) {
         return {false, ResultCode::PoolOverloaded, retryAfter(kOverloadedRetry, random)};
     }
-    if (tooSlow(load, now)) {
+    if (missesDeadline(load, now)) {
         return {false, ResultCode::PoolTooSlow, retryAfter(kTooSlowRetry, random)};
     }
     return {};
@@ -51,27 +51,27 @@
 
 void PoolGate::recordLatencyRatio(double ratio, TimePoint now)
 {
-    if (now - m_windowBegan >= kWindow) {
-        if (m_seen >= kLeastSeen) {
-            const bool late = m_late > m_seen * kLateShare;
-            m_ceiling = std::clamp(late ? m_ceiling * kDecrease : m_ceiling + kIncrease, kMinCeiling, kMaxCeiling);
+    if (now - m_windowStartedAt >= kCeilingWindow) {
+        if (m_samples >= kMinSamples) {
+            const bool late = m_lateSamples > m_samples * kMaxLateShare;
+            m_ceiling = std::clamp(late ? m_ceiling * kCeilingDecreaseFactor : m_ceiling + kCeilingIncrease, kMinCeiling, kMaxCeiling);
         }
-        m_windowBegan = now;
-        m_seen = 0;
-        m_late = 0;
+        m_windowStartedAt = now;
+        m_samples = 0;
+        m_lateSamples = 0;
     }
-    ++m_seen;
-    m_late += ratio > 1 ? 1 : 0;
+    ++m_samples;
+    m_lateSamples += ratio > 1 ? 1 : 0;
 }
 
-void PoolGate::recordEventInterval(Duration pause, Duration target, TimePoint now)
+void PoolGate::recordEventInterval(Duration interval, Duration target, TimePoint now)
 {
     m_gapTarget = target;
-    m_pauses.emplace_back(now, pause);
-    m_pauseSum += pause;
-    while (now - m_pauses.front().first >= kIntervalWindow) {
-        m_pauseSum -= m_pauses.front().second;
-        m_pauses.pop_front();
+    m_intervals.emplace_back(now, interval);
+    m_intervalSum += interval;
+    while (now - m_intervals.front().first >= kIntervalWindow) {
+        m_intervalSum -= m_intervals.front().second;
+        m_intervals.pop_front();
     }
 }
 
@@ -82,19 +82,19 @@
 
 std::optional<Duration> PoolGate::meanEventInterval(TimePoint now) const
 {
-    if (m_pauses.size() < kMinIntervals || now - m_pauses.back().first > kIntervalExpiry) {
+    if (m_intervals.size() < kMinIntervals || now - m_intervals.back().first > kIntervalExpiry) {
         return std::nullopt;
     }
-    return m_pauseSum / static_cast<Duration::rep>(m_pauses.size());
+    return m_intervalSum / static_cast<Duration::rep>(m_intervals.size());
 }
 
-bool PoolGate::tooSlow(const PoolLoad &load, TimePoint now) const
+bool PoolGate::missesDeadline(const PoolLoad &load, TimePoint now) const
 {
-    const auto pause = meanEventInterval(now);
+    const auto interval = meanEventInterval(now);
     if (mutated(Mutation::AdmitDoomed)) {
         return false;
     }
-    return load.events > 0 && pause && std::chrono::duration<double>(*pause) * load.events > std::chrono::duration<double>(load.timeLeft);
+    return load.events > 0 && interval && std::chrono::duration<double>(*interval) * load.events > std::chrono::duration<double>(load.timeLeft);
 }
 
 void PoolGate::recordRefusal(TimePoint now)
--- a/fulmarlink/runnerdirectory.cpp
+++ b/fulmarlink/runnerdirectory.cpp
@@ -1,8 +1,8 @@
-// How the sources combine. The host list says who exists; it lags, so a runner that
-// it still shows may be dead, and one that it marks as leaving is believed at once.
-// A link that breaks or fails says nothing about the host, only that dispatches there
-// are a risk: it counts as an error. Errors in a row eject a runner for a while; the
-// time doubles with each ejection in a row. Loads ride on answers.
+// How the sources are combined. The host list defines which runners exist. It lags, so a
+// listed runner may be dead; a runner listed as leaving is treated as leaving at once.
+// A link that breaks or fails does not show the state of the host, only that dispatches
+// there are a risk; it counts as an error. Consecutive errors eject a runner for a while,
+// and the time doubles with each consecutive ejection. Loads are reported with answers.
 
 #include "fulmarlink/runnerdirectory.h"
 
@@ -15,7 +15,7 @@
 {
 
 constexpr unsigned kMaxEjectDoublings = 5;
-constexpr double kLeastWeight = 0.1;
+constexpr double kMinSlowStartWeight = 0.1;
 constexpr Duration kRelinkInterval = std::chrono::seconds(2);
 constexpr std::string_view kEntryRole = "entry";
 
@@ -64,7 +64,7 @@
         const auto [it, isNew] = m_runners.try_emplace(id);
         Runner &runner = it->second;
         if (isNew) {
-            // The runners of the first list have been there before this entry was: no slow start.
+            // The runners of the first list started before this process: no slow start.
             runner.joinedAt = first ? now - m_options.slowStart : now;
         }
         runner.host = host;
@@ -85,7 +85,7 @@
     }
     Runner &runner = it->second;
     if (runner.load.capacity != 0 && runner.incarnation != 0 && incarnation != runner.incarnation) {
-        runner.joinedAt = now; // replaced: its caches are cold
+        runner.joinedAt = now; // a new incarnation: its caches are cold
     }
     runner.incarnation = incarnation;
     runner.leavingIncarnation = leaving ? incarnation : runner.leavingIncarnation;
@@ -121,7 +121,7 @@
     if (it == m_pools.end()) {
         return std::nullopt;
     }
-    std::vector<Candidate> fresh;
+    std::vector<Candidate> eligible;
     std::vector<Candidate> ejected;
     std::size_t listed = 0;
     for (const NodeId id : it->second) {
@@ -134,25 +134,25 @@
             continue;
         }
         const bool suspect = stateOf(context.now, runner) == RunnerState::Suspect;
-        (suspect ? ejected : fresh).push_back(candidateOf(context.now, runner));
+        (suspect ? ejected : eligible).push_back(candidateOf(context.now, runner));
     }
-    // The floor: when too much of the pool is ejected, ejection says more about the pool than about its runners.
-    const auto floor = static_cast<std::size_t>((1 - m_options.maxEjectedShare) * static_cast<double>(listed));
-    if (fresh.empty() || fresh.size() + tried.size() < floor) {
-        fresh.insert(fresh.end(), ejected.begin(), ejected.end());
+    // If too much of the pool is ejected, the cause is more likely the pool as a whole than its runners.
+    const auto minEligible = static_cast<std::size_t>((1 - m_options.maxEjectedShare) * static_cast<double>(listed));
+    if (eligible.empty() || eligible.size() + tried.size() < minEligible) {
+        eligible.insert(eligible.end(), ejected.begin(), ejected.end());
     }
-    if (fresh.empty()) {
+    if (eligible.empty()) {
         return std::nullopt;
     }
-    const NodeId picked = fresh[m_picker->pick(fresh, context, m_random)].id;
+    const NodeId picked = eligible[m_picker->pick(eligible, context, m_random)].id;
     return context.last ? shortestQueue(context, tried, picked) : picked;
 }
 
-/** Of the runners that have just refused, whose loads came with the refusals, and a new one: the least loaded. */
-NodeId RunnerDirectory::shortestQueue(const PickContext &context, std::span<const NodeId> tried, NodeId fresh) const
+/** The least loaded of @p untried and the runners in @p tried, which reported their loads with their refusals. */
+NodeId RunnerDirectory::shortestQueue(const PickContext &context, std::span<const NodeId> tried, NodeId untried) const
 {
-    NodeId best = fresh;
-    double bestScore = loadScore(candidateOf(context.now, m_runners.at(fresh)), context.now);
+    NodeId best = untried;
+    double bestScore = loadScore(candidateOf(context.now, m_runners.at(untried)), context.now);
     for (const NodeId id : tried) {
         const auto it = m_runners.find(id);
         if (it == m_runners.end() || !takesWork(it->second) || stateOf(context.now, it->second) == RunnerState::Suspect) {
@@ -177,7 +177,7 @@
     }
 }
 
-void RunnerDirectory::finished(TimePoint now, NodeId id, DispatchOutcome verdict)
+void RunnerDirectory::finished(TimePoint now, NodeId id, DispatchOutcome outcome)
 {
     const std::lock_guard lock(m_mutex);
     const auto it = m_runners.find(id);
@@ -186,11 +186,11 @@
     }
     Runner &runner = it->second;
     runner.ownInFlight -= runner.ownInFlight > 0 ? 1 : 0;
-    if (verdict == DispatchOutcome::Success) {
-        runner.errorsInRow = 0;
+    if (outcome == DispatchOutcome::Success) {
+        runner.consecutiveErrors = 0;
         runner.ejections = 0;
     }
-    if (verdict == DispatchOutcome::Error && ++runner.errorsInRow >= m_options.errorsToEject) {
+    if (outcome == DispatchOutcome::Error && ++runner.consecutiveErrors >= m_options.errorsToEject) {
         eject(now, runner);
     }
 }
@@ -199,7 +199,7 @@
 {
     runner.ejectedUntil = now + m_options.ejectFor * (1U << std::min(runner.ejections, kMaxEjectDoublings));
     ++runner.ejections;
-    runner.errorsInRow = 0;
+    runner.consecutiveErrors = 0;
 }
 
 bool RunnerDirectory::hasPool(std::string_view pool) const
@@ -296,8 +296,8 @@
 
 bool RunnerDirectory::takesWork(const Runner &runner) const
 {
-    const bool saidItLeaves = runner.leavingIncarnation != 0 && (runner.incarnation == 0 || runner.incarnation <= runner.leavingIncarnation);
-    return runner.listed && !runner.host.leaving && !saidItLeaves;
+    const bool announcedLeaving = runner.leavingIncarnation != 0 && (runner.incarnation == 0 || runner.incarnation <= runner.leavingIncarnation);
+    return runner.listed && !runner.host.leaving && !announcedLeaving;
 }
 
 Candidate RunnerDirectory::candidateOf(TimePoint now, const Runner &runner) const
@@ -309,7 +309,7 @@
     candidate.load = runner.load;
     candidate.load.inFlight += runner.ownSinceReport;
     if (now < runner.joinedAt + m_options.slowStart && m_options.slowStart.count() > 0) {
-        candidate.weight = std::max(kLeastWeight, std::chrono::duration<double>(now - runner.joinedAt) / m_options.slowStart);
+        candidate.weight = std::max(kMinSlowStartWeight, std::chrono::duration<double>(now - runner.joinedAt) / m_options.slowStart);
     }
     return candidate;
 }
--- a/fulmarlink/runnerdirectory.h
+++ b/fulmarlink/runnerdirectory.h
@@ -15,83 +15,83 @@
 namespace fulmarlink
 {
 
-/** Settings of runner life and outlier ejection. */
+/** Settings of the runner life cycle and of outlier ejection. */
 struct DirectoryOptions {
-    std::string zone; ///< the availability zone of this entry
+    std::string zone; ///< availability zone of this host
     std::string picker = "affinity";
     Duration slowStart = std::chrono::seconds(10);
-    unsigned errorsToEject = 3; ///< errors in a row
-    Duration ejectFor = std::chrono::seconds(5); ///< doubled for each ejection in a row
-    double maxEjectedShare = 0.5; ///< a pool keeps at least the rest of its runners
-    Duration listGrace = std::chrono::seconds(3); ///< a runner dropped from the list is still linked for so long
+    unsigned errorsToEject = 3; ///< consecutive errors
+    Duration ejectFor = std::chrono::seconds(5); ///< doubled for each consecutive ejection
+    double maxEjectedShare = 0.5; ///< if more of a pool's runners are ejected, ejected ones are picked again
+    Duration listGrace = std::chrono::seconds(3); ///< how long the link to a runner that left the list is kept
 };
 
-/** How a dispatch ended, for outlier ejection. */
+/** The outcome of a dispatch, for outlier ejection. */
 enum class DispatchOutcome : std::uint8_t {
     Success,
-    Busy, ///< an early refusal: not an error
-    Error, ///< broke, lost or unreachable
+    Busy, ///< refused early; not an error
+    Error, ///< link broken, request lost or runner unreachable
 };
 
 /**
- * What one entry host knows of all runners: the host list, links, loads and errors
- * combined into one state each, and the pick.
+ * An entry host's view of all runners: combines the host list, links, reported loads and
+ * errors into one state per runner and selects runners for dispatches.
  *
- * How to use: feed it the host list, link events, loads and verdicts; call pick().
+ * Usage: pass in the host list, link events, loads and outcomes; call pick().
  *
- * Contract: thread-safe under one lock. pick() never gives a runner that is leaving
- * or gone, and gives an ejected one only when too few others are left (the floor
- * maxEjectedShare). Leaving is sticky for an incarnation: only a link to a newer
- * incarnation, or the list's word on it, clears it. pick() costs O(runners of the pool).
+ * Contract: thread-safe under one lock. pick() never returns a runner that is leaving
+ * or unlisted, and returns an ejected one only if too few others are left (see
+ * maxEjectedShare). A runner's own announcement that it is leaving holds for its
+ * incarnation until a link to a newer incarnation is up. pick() is O(runners of the pool).
  */
 class RunnerDirectory
 {
 public:
     RunnerDirectory(DirectoryOptions options, std::uint64_t seed);
 
-    /** Replaces the host list. An empty list is taken for an outage and ignored while runners are known. */
+    /** Replaces the host list. An empty list is treated as an outage and ignored. */
     void setHosts(TimePoint now, std::span<const HostInfo> hosts);
     void linkUp(TimePoint now, NodeId id, std::uint64_t incarnation, bool leaving);
     void linkDown(NodeId id);
     void reportLoad(NodeId id, std::uint64_t incarnation, const RunnerLoad &load, bool leaving);
 
     /**
-     * A runner for a new dispatch, or none. Runners in @p tried are only given when nothing else is left,
-     * or for the last attempt, when their fresh reports show the shortest queue. */
+     * Selects a runner for a new dispatch; empty if there is none. A runner in @p tried is returned only
+     * on the last attempt, if the load reported with its refusal shows a shorter queue. */
     std::optional<NodeId> pick(std::string_view pool, const PickContext &context, std::span<const NodeId> tried);
     void started(NodeId id);
-    void finished(TimePoint now, NodeId id, DispatchOutcome verdict);
+    void finished(TimePoint now, NodeId id, DispatchOutcome outcome);
 
     bool hasPool(std::string_view pool) const;
-    /** The incarnation behind the open link, 0 if there is none. */
+    /** Incarnation at the other end of the open link; 0 if there is no link. */
     std::uint64_t linkedIncarnation(NodeId id) const;
     RunnerState state(TimePoint now, NodeId id) const;
     std::optional<HostInfo> host(NodeId id) const;
-    /** All nodes of the list with @p role, sorted by name. */
+    /** All listed hosts with @p role, sorted by name. */
     std::vector<HostInfo> hostsWithRole(std::string_view role) const;
-    /** All runners of the list. */
+    /** All listed runners, sorted by name. */
     std::vector<HostInfo> runners() const;
-    /** Runners that said they leave and are listed as live: a link to each shows when a new incarnation is there. At most once an interval. */
+    /** Runners that announced that they leave but are listed as live: connecting to one shows whether a new incarnation runs. Empty between intervals. */
     std::vector<NodeId> reconnectCandidates(TimePoint now);
-    /** True once a non-empty list is known and does not have @p id. */
+    /** True if a host list is known and does not contain @p id. */
     bool isUnlisted(NodeId id) const;
 
 private:
     struct Runner {
         HostInfo host;
-        std::uint64_t incarnation = 0; ///< of the open link
-        std::uint64_t leavingIncarnation = 0; ///< the incarnation that said it leaves
+        std::uint64_t incarnation = 0; ///< at the other end of the open link; 0: no link
+        std::uint64_t leavingIncarnation = 0; ///< the incarnation that announced that it leaves; 0: none
         TimePoint joinedAt{};
         RunnerLoad load;
         std::uint32_t ownInFlight = 0;
         std::uint32_t ownSinceReport = 0;
-        unsigned errorsInRow = 0;
+        unsigned consecutiveErrors = 0;
         unsigned ejections = 0;
         TimePoint ejectedUntil{};
         bool listed = true;
     };
 
-    NodeId shortestQueue(const PickContext &context, std::span<const NodeId> tried, NodeId fresh) const;
+    NodeId shortestQueue(const PickContext &context, std::span<const NodeId> tried, NodeId untried) const;
     RunnerState stateOf(TimePoint now, const Runner &runner) const;
     bool takesWork(const Runner &runner) const;
     Candidate candidateOf(TimePoint now, const Runner &runner) const;
--- a/fulmarlink/targetconnections.cpp
+++ b/fulmarlink/targetconnections.cpp
@@ -22,23 +22,23 @@
 {
 }
 
-bool TargetConnections::fit(TargetConnection &connection) const
+bool TargetConnections::isReusable(TargetConnection &connection) const
 {
     if (m_clock.now() - connection.idleSince >= connection.idleLimit || connection.buffer.size() > 0) {
         return false;
     }
     char byte = 0;
-    const auto got = recv(connection.stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    const auto received = recv(connection.stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 asio::awaitable<std::shared_ptr<TargetConnection>> TargetConnections::acquire(TargetInfo target, std::chrono::milliseconds timeout)
 {
-    auto &kept = m_idle[target.id];
-    while (!kept.empty()) {
-        std::shared_ptr<TargetConnection> connection = kept.back();
-        kept.pop_back();
-        if (fit(*connection)) {
+    auto &idle = m_idle[target.id];
+    while (!idle.empty()) {
+        std::shared_ptr<TargetConnection> connection = idle.back();
+        idle.pop_back();
+        if (isReusable(*connection)) {
             m_counters.add(m_reused);
             connection->reused = true;
             co_return connection;
@@ -66,22 +66,22 @@
 {
     connection->stream.expires_never();
     connection->idleSince = m_clock.now();
-    auto &kept = m_idle[connection->target];
-    if (kept.size() < mostKept(connection->pool)) {
-        kept.push_back(std::move(connection));
+    auto &idle = m_idle[connection->target];
+    if (idle.size() < maxIdle(connection->pool)) {
+        idle.push_back(std::move(connection));
     }
 }
 
-void TargetConnections::setConnectionLimit(const std::string &pool, unsigned most, unsigned hosts)
+void TargetConnections::setConnectionLimit(const std::string &pool, unsigned maxConnections, unsigned hosts)
 {
-    const auto part = static_cast<std::size_t>(most * kIdleShare / std::max(1U, hosts));
-    m_mostKept[pool] = most == 0 ? kMaxIdlePerTarget : std::min(part, kMaxIdlePerTarget);
+    const auto hostShare = static_cast<std::size_t>(maxConnections * kIdleShare / std::max(1U, hosts));
+    m_maxIdle[pool] = maxConnections == 0 ? kMaxIdlePerTarget : std::min(hostShare, kMaxIdlePerTarget);
 }
 
-std::size_t TargetConnections::mostKept(const std::string &pool) const
+std::size_t TargetConnections::maxIdle(const std::string &pool) const
 {
-    const auto it = m_mostKept.find(pool);
-    return it == m_mostKept.end() ? kMaxIdlePerTarget : it->second;
+    const auto it = m_maxIdle.find(pool);
+    return it == m_maxIdle.end() ? kMaxIdlePerTarget : it->second;
 }
 
 void TargetConnections::closeIdleTo(const std::string &targetId)
@@ -96,10 +96,10 @@
         std::erase_if(it->second, [&](const auto &connection) {
             return now - connection->idleSince >= connection->idleLimit;
         });
-        const std::size_t most = it->second.empty() ? 0 : mostKept(it->second.front()->pool);
-        it->second.resize(std::min(it->second.size(), most));
-        const bool useless = it->second.empty() || targets.find(it->first) == nullptr;
-        it = useless ? m_idle.erase(it) : std::next(it);
+        const std::size_t limit = it->second.empty() ? 0 : maxIdle(it->second.front()->pool);
+        it->second.resize(std::min(it->second.size(), limit));
+        const bool removable = it->second.empty() || targets.find(it->first) == nullptr;
+        it = removable ? m_idle.erase(it) : std::next(it);
     }
 }
 
--- a/fulmarlink/targetconnections.h
+++ b/fulmarlink/targetconnections.h
@@ -16,7 +16,7 @@
 namespace fulmarlink
 {
 
-/** A connection to a runner, for one request at a time. */
+/** A connection to a runner; it carries one request at a time. */
 struct TargetConnection {
     explicit TargetConnection(const boost::asio::any_io_executor &executor)
         : stream(executor)
@@ -25,49 +25,49 @@
 
     boost::beast::tcp_stream stream;
     boost::beast::flat_buffer buffer;
-    std::string target; ///< id of the runner that it was opened to
-    std::string pool; ///< of that runner
+    std::string target; ///< id of the runner at the other end
+    std::string pool; ///< pool of that runner
     TimePoint idleSince{};
-    Duration idleLimit{0}; ///< the runner closes it when it has been idle for longer
+    Duration idleLimit{0}; ///< not reused after being idle for so long, since the runner may close it
     bool reused = false;
 };
 
 /**
- * Connections to runners, kept for the next request.
+ * Opens connections to runners and keeps idle ones for reuse.
  *
- * A connection is reused only while the runner surely keeps it open, and only if nothing
- * has come on it since its last answer: bytes without a request belong to no request.
- * Reuse matters since a new connection costs a runner a slot for about a millisecond.
+ * A connection is reused only within the time for which the runner keeps it open, and only
+ * if no bytes have arrived since its last response, since such bytes belong to no request.
+ * Reuse matters because a new connection occupies a runner's slot for about a millisecond.
  *
  * Not thread-safe.
  */
 class TargetConnections
 {
 public:
-    /** Of a runner's stated time, kept back for bytes under way and a host that is busy. */
+    /** Subtracted from a runner's stated idle timeout, to allow for bytes in transit and for a busy host. */
     static constexpr Duration kIdleMargin = std::chrono::milliseconds(800);
-    /** Used where the runner does not say how long it keeps idle connections; the shortest that servers commonly use. */
+    /** Idle timeout where the runner states none; the shortest that servers commonly use. */
     static constexpr Duration kDefaultIdle = std::chrono::seconds(4);
     static constexpr std::size_t kMaxIdlePerTarget = 16;
-    /** Of the connections that a runner takes from all hosts together; the rest is for those in use. */
+    /** Share of a runner's connection limit that all hosts together may keep idle; the rest is left for connections in use. */
     static constexpr double kIdleShare = 0.8;
 
     TargetConnections(boost::asio::any_io_executor executor, const Clock &clock, Counters &counters);
 
-    /** A kept connection, or a new one; null if none came about within @p timeout. */
+    /** Returns an idle connection or opens a new one; null if connecting fails or exceeds @p timeout. */
     boost::asio::awaitable<std::shared_ptr<TargetConnection>> acquire(TargetInfo target, std::chrono::milliseconds timeout);
-    /** Keeps a connection whose last answer was whole. */
+    /** Keeps a connection for reuse; its last response must have been received completely. */
     void release(std::shared_ptr<TargetConnection> connection);
-    /** A runner of @p pool takes @p most connections from @p hosts together, 0: unknown; this host keeps no more than its part of them. */
-    void setConnectionLimit(const std::string &pool, unsigned most, unsigned hosts);
-    /** Closes what is kept to a runner that has started again: it knows none of them. */
+    /** Each runner of @p pool accepts @p maxConnections from all @p hosts together, 0: unknown; limits this host's idle connections to its share. */
+    void setConnectionLimit(const std::string &pool, unsigned maxConnections, unsigned hosts);
+    /** Closes the idle connections to a runner that is leaving, or that has restarted and so knows none of them. */
     void closeIdleTo(const std::string &targetId);
-    /** Closes what is kept to runners that are no longer listed, and what has been idle for too long. */
+    /** Closes idle connections that have expired, exceed the limit or lead to runners that are no longer listed. */
     void sweep(const TargetTable &targets);
 
 private:
-    bool fit(TargetConnection &connection) const;
-    std::size_t mostKept(const std::string &pool) const;
+    bool isReusable(TargetConnection &connection) const;
+    std::size_t maxIdle(const std::string &pool) const;
 
     boost::asio::any_io_executor m_executor;
     const Clock &m_clock;
@@ -75,8 +75,8 @@
     Counters::Id m_opened;
     Counters::Id m_reused;
     Counters::Id m_discarded;
-    std::map<std::string, std::size_t> m_mostKept; ///< to each runner, by pool
-    std::map<std::string, std::vector<std::shared_ptr<TargetConnection>>> m_idle; ///< by target id, the last used last
+    std::map<std::string, std::size_t> m_maxIdle; ///< limit of idle connections to each runner, by pool
+    std::map<std::string, std::vector<std::shared_ptr<TargetConnection>>> m_idle; ///< by target id, most recently used last
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/targettable.cpp
+++ b/fulmarlink/targettable.cpp
@@ -47,22 +47,22 @@
         if (afterOutage && state.listed && !state.info.leaving && !state.missingSince) {
             state.missingSince = now;
         }
-        const bool lapsed = state.missingSince && now - *state.missingSince < m_options.missingGrace;
-        if (state.listed && !lapsed) {
+        const bool withinGrace = state.missingSince && now - *state.missingSince < m_options.missingGrace;
+        if (state.listed && !withinGrace) {
             state.listed = false;
             changes.gone.push_back(it->first);
         }
-        it = !state.listed && state.own == 0 ? m_states.erase(it) : std::next(it);
+        it = !state.listed && state.ownInFlight == 0 ? m_states.erase(it) : std::next(it);
     }
     return changes;
 }
 
-/** Nothing that was seen of the runner's earlier life holds for this one; requests that are still open here end by themselves. */
+/** Discards everything observed before the runner restarted. Requests that are still open there end on their own. */
 void TargetTable::restart(State &state)
 {
-    state.others = 0;
-    state.othersAt.reset();
-    state.heardAt = TimePoint{};
+    state.othersInFlight = 0;
+    state.othersReportedAt.reset();
+    state.lastReceivedAt = TimePoint{};
     state.failures = 0;
     state.ejectedUntil = TimePoint{};
     state.group.clear();
@@ -71,15 +71,15 @@
 
 bool TargetTable::usable(const State &state, TimePoint now) const
 {
-    const bool lapsed = state.missingSince && now - *state.missingSince >= m_options.missingGrace;
+    const bool graceExpired = state.missingSince && now - *state.missingSince >= m_options.missingGrace;
     const bool listedLeaving = state.info.leaving && !mutated(Mutation::PickLeaving);
-    const bool saidLeaving = m_signals != nullptr && m_signals->isLeaving({state.info.id, state.info.born}) && !mutated(Mutation::IgnoreLeavingAnswer);
-    return state.listed && !listedLeaving && !saidLeaving && !lapsed;
+    const bool announcedLeaving = m_signals != nullptr && m_signals->isLeaving({state.info.id, state.info.born}) && !mutated(Mutation::IgnoreLeavingAnswer);
+    return state.listed && !listedLeaving && !announcedLeaving && !graceExpired;
 }
 
 RunnerExclusion TargetTable::obstacle(const State &state, TimePoint now) const
 {
-    return m_signals == nullptr ? RunnerExclusion::None : m_signals->exclusion({state.info.id, state.info.born}, state.own, now);
+    return m_signals == nullptr ? RunnerExclusion::None : m_signals->exclusion({state.info.id, state.info.born}, state.ownInFlight, now);
 }
 
 void TargetTable::setSignals(const RunnerSignals *signals)
@@ -114,12 +114,12 @@
 double TargetTable::score(const State &state, TimePoint now) const
 {
     double others = 0;
-    if (state.othersAt) {
-        const double age = std::chrono::duration<double>(now - *state.othersAt) / std::chrono::duration<double>(m_options.loadFreshFor);
-        others = state.others * std::clamp(2 - age, 0.0, 1.0);
+    if (state.othersReportedAt) {
+        const double age = std::chrono::duration<double>(now - *state.othersReportedAt) / std::chrono::duration<double>(m_options.loadFreshFor);
+        others = state.othersInFlight * std::clamp(2 - age, 0.0, 1.0);
     }
     const double zone = state.info.zone == m_options.zone ? 0 : kRemoteZonePenalty;
-    return (state.own + others + zone) / std::max(1U, state.info.slots);
+    return (state.ownInFlight + others + zone) / std::max(1U, state.info.slots);
 }
 
 std::vector<TargetCandidate> TargetTable::candidates(std::string_view pool, const std::set<std::string> &tried, TimePoint now, Random &random) const
@@ -135,7 +135,7 @@
         }
         Best &best = byGroup[state.group];
         ++best.candidate.runners;
-        // A request that was refused before goes to runners that are known to take work.
+        // A retried request avoids runners that are in slow start or that recently refused more requests than they took.
         const bool slowStart = m_signals != nullptr && m_signals->inSlowStart({id, state.info.born}, now);
         const bool onProbation = !tried.empty() && (slowStart || state.refusals.hasRecentRefusals());
         const bool deprioritized = state.ejectedUntil > now || state.refusals.isBackingOff(now) || onProbation || (state.slow && !mutated(Mutation::SendToSlow));
@@ -185,18 +185,18 @@
 {
     const auto it = m_states.find(id);
     if (it != m_states.end()) {
-        ++it->second.own;
+        ++it->second.ownInFlight;
     }
 }
 
 void TargetTable::requestEnded(const std::string &id)
 {
     const auto it = m_states.find(id);
-    if (it == m_states.end() || it->second.own == 0) {
+    if (it == m_states.end() || it->second.ownInFlight == 0) {
         return;
     }
-    --it->second.own;
-    if (!it->second.listed && it->second.own == 0) {
+    --it->second.ownInFlight;
+    if (!it->second.listed && it->second.ownInFlight == 0) {
         m_states.erase(it);
     }
 }
@@ -208,22 +208,22 @@
         return;
     }
     const unsigned total = load.running + load.waiting;
-    it->second.others = total > it->second.own ? total - it->second.own : 0;
-    it->second.othersAt = now;
+    it->second.othersInFlight = total > it->second.ownInFlight ? total - it->second.ownInFlight : 0;
+    it->second.othersReportedAt = now;
 }
 
 void TargetTable::dataReceived(const std::string &id, TimePoint now)
 {
     const auto it = m_states.find(id);
     if (it != m_states.end()) {
-        it->second.heardAt = now;
+        it->second.lastReceivedAt = now;
     }
 }
 
 TimePoint TargetTable::lastReceived(const std::string &id) const
 {
     const auto it = m_states.find(id);
-    return it == m_states.end() ? TimePoint{} : it->second.heardAt;
+    return it == m_states.end() ? TimePoint{} : it->second.lastReceivedAt;
 }
 
 void TargetTable::requestSucceeded(const std::string &id)
@@ -279,7 +279,7 @@
         return;
     }
     it->second.group = group;
-    it->second.slow = false; // the owner of its new group's map has not said so
+    it->second.slow = false; // only the map owner of the new group can mark it as slow
 }
 
 const std::string &TargetTable::groupOf(const std::string &id) const
@@ -311,14 +311,14 @@
 unsigned TargetTable::ownRequests(const std::string &id) const
 {
     const auto it = m_states.find(id);
-    return it == m_states.end() ? 0 : it->second.own;
+    return it == m_states.end() ? 0 : it->second.ownInFlight;
 }
 
 unsigned TargetTable::ownRequests(std::string_view pool, std::string_view group) const
 {
     unsigned total = 0;
     for (const auto &[id, state] : m_states) {
-        total += state.info.pool == pool && state.group == group ? state.own : 0;
+        total += state.info.pool == pool && state.group == group ? state.ownInFlight : 0;
     }
     return total;
 }
--- a/fulmarlink/targettable.h
+++ b/fulmarlink/targettable.h
@@ -20,8 +20,8 @@
 
 /** One runner as the platform lists it. */
 struct TargetInfo {
-    std::string id; ///< unique among the runners listed; a runner may start again under the id that it had
-    std::uint64_t born = 0; ///< when it started, Unix time in milliseconds; 0: not said
+    std::string id; ///< unique among the listed runners; a restarted runner may keep its id
+    std::uint64_t born = 0; ///< start time as Unix time in milliseconds; 0: unknown
     std::string pool;
     HttpTarget address;
     std::string zone;
@@ -29,7 +29,7 @@
     bool leaving = false;
 };
 
-/** What a runner says of its load, in requests. */
+/** The load that a runner reports, in requests. */
 struct TargetLoad {
     unsigned running = 0;
     unsigned waiting = 0;
@@ -37,29 +37,29 @@
 
 struct TargetTableOptions {
     std::string zone; ///< of this host
-    Duration missingGrace = std::chrono::milliseconds(1500); ///< a runner that an outage made vanish counts as there for so long after it
-    Duration outageGap = std::chrono::milliseconds(2500); ///< a list that comes after a gap as long as this ends an outage
-    Duration ejectFor = std::chrono::milliseconds(1500); ///< after kFailuresToEject failures in a row
-    Duration loadFreshFor = std::chrono::milliseconds(1200); ///< a reported load counts in full until then and not at all at twice that age
+    Duration missingGrace = std::chrono::milliseconds(1500); ///< how long a runner that is missing from the first list after an outage stays usable
+    Duration outageGap = std::chrono::milliseconds(2500); ///< a longer gap between two lists counts as an outage
+    Duration ejectFor = std::chrono::milliseconds(1500); ///< after kFailuresToEject consecutive failures
+    Duration loadFreshFor = std::chrono::milliseconds(1200); ///< a reported load counts in full up to this age, then decays linearly to zero at twice this age
 };
 
 /** The best runner of one rank group, as pick() compares them. */
 struct TargetCandidate {
-    std::string group; ///< empty: of the runners in no group
+    std::string group; ///< empty: the runners without a group
     const TargetInfo *target = nullptr;
-    double load = 0; ///< requests for each of its slots
-    bool deprioritized = false; ///< it failed lately or is slow, as all of its group are
-    unsigned runners = 0; ///< of the group that may take work
+    double load = 0; ///< requests per slot
+    bool deprioritized = false; ///< it failed recently or is slow; true only if this holds for all candidates of the group
+    unsigned runners = 0; ///< candidates in the group
 };
 
-/** Of the runners that may take work but for what they have said themselves; see RunnerExclusion. */
+/** Usable runners of a pool, by whether a signal of their own keeps them from taking requests; see RunnerExclusion. */
 struct BlockedRunners {
     unsigned limited = 0;
-    unsigned backingOff = 0; ///< slow start included
-    unsigned free = 0; ///< runners that nothing keeps from taking work
-    double limitedPerSecond = 0; ///< requests that the limited ones take from all hosts together
-    unsigned slots = 0; ///< of those that back off
-    std::optional<TimePoint> nextRoom; ///< the first that this host has; nothing: it leaves all of them out
+    unsigned backingOff = 0; ///< including those in slow start
+    unsigned free = 0; ///< runners that can take requests
+    double limitedPerSecond = 0; ///< total rate that the limited runners accept from all hosts
+    unsigned slots = 0; ///< of the runners that are backing off
+    std::optional<TimePoint> nextRoom; ///< the earliest time at which this host may send to one of them; empty: it may send to none
 
     unsigned runners() const
     {
@@ -67,44 +67,46 @@
     }
 };
 
-/** What a new list changed, for the log. */
+/** The differences between two runner lists, for the log. */
 struct TargetChanges {
     std::vector<std::string> added;
-    std::vector<std::string> restarted; ///< under the id that they had
+    std::vector<std::string> restarted; ///< with an unchanged id
     std::vector<std::string> leaving;
     std::vector<std::string> gone;
 };
 
 /**
- * The runners that requests may go to, and the choice among them.
+ * Tracks the known runners and selects one for each request.
  *
- * A runner's load is this entry's own requests there plus what the runner last said of
- * the others', which fades with age. Requests go to the least loaded for its slots; the
- * own availability zone wins ties. A runner that fails several times in a row is passed
- * over for a while, unless all are; so is one that is known to be slow.
+ * A runner's load is the number of this host's own requests there plus the last reported
+ * number of requests from other hosts, which decays with age. The runner with the lowest
+ * load per slot is selected; this host's availability zone is preferred on ties. A runner that
+ * fails several times in a row is ejected for a while, and a slow runner is avoided; both
+ * are still selected if no other runner is left.
  *
- * Contract: a runner that is leaving or gone in the newest list, or has said that it is leaving
- * or wants nothing from here now, is never picked. Pure;
- * not thread-safe; pick() is O(runners of the pool).
+ * Contract: pick() never returns a runner that is leaving or missing in the latest list, or
+ * that has itself announced that it is leaving or currently accepts no request from this host.
+ * A runner that is missing after an outage stays usable for missingGrace.
+ * Does no I/O; not thread-safe; pick() is O(known runners).
  */
 class TargetTable
 {
 public:
     static constexpr unsigned kFailuresToEject = 3;
-    /** Load that a runner in another zone seems to have more, in requests; breaks ties towards the own zone. */
+    /** Requests added to the load of a runner in another zone, to break ties in favour of this host's zone. */
     static constexpr double kRemoteZonePenalty = 0.25;
 
     explicit TargetTable(TargetTableOptions options);
 
-    /** The whole list of the platform, read at @p now. */
+    /** Replaces the runner list with the platform's complete list as read at @p now. */
     TargetChanges setTargets(const std::vector<TargetInfo> &list, TimePoint now);
-    /** Chooses a runner of @p pool that is not in @p tried; null if none may take work. */
+    /** Selects a runner of @p pool that is not in @p tried; null if none can take requests. */
     const TargetInfo *pick(std::string_view pool, const std::set<std::string> &tried, TimePoint now, Random &random) const;
-    /** The best runner of each rank group of @p pool, and of those in no group, that is not in @p tried; by group name. */
+    /** The best runner not in @p tried of each rank group of @p pool, and of the runners without a group; sorted by group name. */
     std::vector<TargetCandidate> candidates(std::string_view pool, const std::set<std::string> &tried, TimePoint now, Random &random) const;
-    /** Runners of @p pool that candidates() leaves out for what they have said themselves. */
+    /** Runners of @p pool that candidates() excludes because of their own signals. */
     BlockedRunners blocked(std::string_view pool, const std::set<std::string> &tried, TimePoint now) const;
-    /** What runners have said of the requests that they want; outlives the table. */
+    /** Sets the source of the runners' own signals; it must outlive the table. */
     void setSignals(const RunnerSignals *signals);
     /** Null if the runner is not listed. */
     const TargetInfo *find(const std::string &id) const;
@@ -113,51 +115,51 @@
     void requestSent(const std::string &id);
     void requestEnded(const std::string &id);
     void loadReported(const std::string &id, TargetLoad load, TimePoint now);
-    /** Bytes of an answer came from the runner. */
+    /** Notes that response bytes arrived from the runner. */
     void dataReceived(const std::string &id, TimePoint now);
-    /** When that was last; the epoch if never. */
+    /** Time of the last dataReceived(); the epoch if there was none. */
     TimePoint lastReceived(const std::string &id) const;
     void requestSucceeded(const std::string &id);
-    /** The runner turned a request away; @p load: as it told with that. True if that speaks against it, and not of full slots. */
+    /** The runner refused a request and reported @p load with the refusal. True if full slots don't explain the refusal: it counts against the runner. */
     bool requestRefused(const std::string &id, const std::optional<TargetLoad> &load, TimePoint now);
-    /** The runner has begun to answer a request. */
+    /** The runner has started to answer a request. */
     void requestAccepted(const std::string &id);
-    /** A failure that speaks against the runner. True if it is passed over from now on. */
+    /** A request failed through the runner's fault. True if the runner is ejected from now on. */
     bool requestFailed(const std::string &id, TimePoint now);
 
-    /** The runners of @p pool and @p group that work far below their speed; the others of that group don't. */
+    /** Marks the runners @p ids of @p pool and @p group as far slower than normal and the others of the group as not slow. */
     void setSlow(std::string_view pool, std::string_view group, const std::vector<std::string> &ids);
 
-    /** Which rank group the runner is in; empty: none. */
+    /** Assigns the runner to a rank group; empty: none. */
     void setGroup(const std::string &id, const std::string &group);
-    /** Empty if it is in none, or not known, or not listed. */
+    /** Empty if the runner has no group or is not known. */
     const std::string &groupOf(const std::string &id) const;
 
     bool isSlow(const std::string &id) const;
 
-    /** Requests for each slot at @p id, as pick() compares them. */
+    /** Requests per slot at @p id, as pick() compares them. */
     double load(const std::string &id, TimePoint now) const;
     unsigned available(std::string_view pool, TimePoint now) const;
-    /** This entry's requests in progress at one runner. */
+    /** This host's requests in progress at one runner. */
     unsigned ownRequests(const std::string &id) const;
-    /** This entry's requests in progress at the runners of @p pool and @p group. */
+    /** This host's requests in progress at the runners of @p pool and @p group. */
     unsigned ownRequests(std::string_view pool, std::string_view group) const;
     std::vector<TargetInfo> listed(std::string_view pool) const;
-    /** Those of one rank group. */
+    /** The listed runners of one rank group. */
     std::vector<TargetInfo> listed(std::string_view pool, std::string_view group) const;
     std::size_t size() const;
 
 private:
     struct State {
         TargetInfo info;
-        std::string group; ///< of ranks; empty: none
+        std::string group; ///< rank group; empty: none
         bool listed = true;
-        std::optional<TimePoint> missingSince; ///< absent from the list after an outage
-        unsigned own = 0;
-        unsigned others = 0;
-        std::optional<TimePoint> othersAt;
-        TimePoint heardAt{};
-        unsigned failures = 0; ///< in a row
+        std::optional<TimePoint> missingSince; ///< when it was first found missing after an outage
+        unsigned ownInFlight = 0;
+        unsigned othersInFlight = 0;
+        std::optional<TimePoint> othersReportedAt;
+        TimePoint lastReceivedAt{};
+        unsigned failures = 0; ///< consecutive
         TimePoint ejectedUntil{};
         RefusalBackoff refusals;
         bool slow = false;
--- a/testing/admission_test.cpp
+++ b/testing/admission_test.cpp
@@ -1,5 +1,5 @@
-// Where a request goes in a pool with two rank groups. Load patterns: one group waits for a slow
-// rank; one stands still since a rank was lost; one refuses everything until it has formed again.
+// Selection between two rank groups of a pool: one waits for a slow rank, one makes no progress
+// after losing a rank, or one refuses every request until it has formed again.
 
 #include "fulmarlink/admission.h"
 
@@ -12,27 +12,27 @@
 
 using namespace std::chrono_literals;
 
-TEST(Admission, GroupsThatAreAlikeShareTheWorkEvenly)
+TEST(Admission, GroupsWellBelowIntervalTargetShareRequestsEqually)
 {
     TwoGroups groups;
     groups.pace("north", 60ms);
-    groups.pace("south", 80ms); // both are on time by far
+    groups.pace("south", 80ms); // both are far below the target of 120 ms
     EXPECT_EQ(groups.share("north", 16), 8U);
 }
 
-// The load: one rank of twelve times its usual step makes its whole group late.
-TEST(Admission, AGroupWhosePassesTakeLongGetsAsMuchLessAndNotNothing)
+// A rank whose steps take twelve times as long as usual makes its whole group late.
+TEST(Admission, SlowGroupReceivesProportionallyFewerRequests)
 {
     TwoGroups groups;
-    groups.pace("north", 252ms); // three times the easy pace of the other
+    groups.pace("north", 252ms); // three times the pace floor of 84 ms, which applies to the other group
     groups.pace("south", 60ms);
     const unsigned slow = groups.share("north", 12);
     EXPECT_GE(slow, 2U);
     EXPECT_LE(slow, 4U);
 }
 
-// The load: a rank is lost; its group moves nothing for a second and a half before it refuses.
-TEST(Admission, AGroupThatStandsStillGetsNothingWhileAnotherMoves)
+// After losing a rank, a group makes no progress for 1.5 s before it refuses requests.
+TEST(Admission, GroupWithoutProgressReceivesNothingWhileAnotherProgresses)
 {
     TwoGroups groups;
     groups.pace("north", 60ms);
@@ -46,7 +46,7 @@
     EXPECT_GT(groups.share("north", 6), 0U);
 }
 
-TEST(Admission, AGroupThatWasIdleIsNotTakenForStill)
+TEST(Admission, IdleTimeDoesNotCountAsLackOfProgress)
 {
     TwoGroups groups;
     groups.pace("north", 60ms);
@@ -56,7 +56,7 @@
     EXPECT_FALSE(groups.state.standsStill("p", "north", groups.clock.now()));
 }
 
-TEST(Admission, AGroupThatRefusesEverythingIsTriedNowAndThenAndClosesOnlyItself)
+TEST(Admission, StalledGroupIsProbedAndOtherGroupsStayOpen)
 {
     TwoGroups groups;
     for (unsigned i = 0; i < PoolGate::kRefusalsToStall; ++i) {
@@ -64,10 +64,10 @@
     }
     EXPECT_EQ(groups.share("north", 4), 0U);
     groups.clock.time += PoolGate::kProbeInterval + 10ms;
-    EXPECT_EQ(groups.share("north", 4), 1U) << "one of them finds out whether it is back";
+    EXPECT_EQ(groups.share("north", 4), 1U) << "a single probe tests whether the group has recovered";
 }
 
-TEST(Admission, WhereAllGroupsRefuseTheCallerHearsTheSoonestReturn)
+TEST(Admission, ReturnsShortestRetryAfterIfAllGroupsRefuse)
 {
     TwoGroups groups;
     for (const char *group : {"north", "south"}) {
@@ -88,7 +88,7 @@
     EXPECT_LT(both, one * 0.95);
 }
 
-TEST(Admission, WithoutARunnerItSaysSo)
+TEST(Admission, ReportsEmptyPoolIfNoRunnerIsLeft)
 {
     TwoGroups groups;
     const Admission admission = groups.ask({"n0", "n1", "s0", "s1"});
--- a/testing/poolgate_test.cpp
+++ b/testing/poolgate_test.cpp
@@ -1,5 +1,5 @@
-// Who is refused. Load patterns: a burst that makes pauses late; a group that has lost a
-// rank and refuses everything until it has formed again.
+// Admission decisions of a gate: a burst that makes event intervals late, and a group that
+// has lost a rank and refuses every request until it has formed again.
 
 #include "fulmarlink/poolgate.h"
 
@@ -18,11 +18,11 @@
     return TimePoint(std::chrono::seconds(500) + milliseconds(ms));
 }
 
-constexpr PoolLoad kHalf{.runners = 4, .lowestLoad = 0.5};
+constexpr PoolLoad kHalfLoaded{.runners = 4, .lowestLoad = 0.5};
 
 } // namespace
 
-TEST(PoolGate, LatePausesLowerTheCeilingAndTimelyOnesRaiseItSlowly)
+TEST(PoolGate, LateIntervalsLowerCeilingAndTimelyOnesRaiseItSlowly)
 {
     PoolGate gate;
     Random random(1);
@@ -32,7 +32,7 @@
     const double lowest = gate.ceiling();
     EXPECT_LT(lowest, 0.5);
     EXPECT_GE(lowest, PoolGate::kMinCeiling);
-    EXPECT_EQ(gate.decide(kHalf, at(12'000), random).refusal, ResultCode::PoolOverloaded);
+    EXPECT_EQ(gate.decide(kHalfLoaded, at(12'000), random).refusal, ResultCode::PoolOverloaded);
     for (int i = 0; i < 2000; ++i) {
         gate.recordLatencyRatio(0.5, at(12'000 + i * 2));
     }
@@ -40,7 +40,7 @@
     EXPECT_LT(gate.ceiling(), lowest + 0.5);
 }
 
-TEST(PoolGate, AFewLatePausesChangeNothing)
+TEST(PoolGate, OccasionalLateIntervalsLeaveCeilingUnchanged)
 {
     PoolGate gate;
     for (int i = 0; i < 5000; ++i) {
@@ -49,7 +49,7 @@
     EXPECT_EQ(gate.ceiling(), PoolGate::kMaxCeiling);
 }
 
-TEST(PoolGate, AStalledPoolIsProbedOneByOneAndTheRestRefusedAtOnce)
+TEST(PoolGate, StalledPoolAdmitsOneProbePerIntervalAndRefusesTheRest)
 {
     PoolGate gate;
     Random random(1);
@@ -59,7 +59,7 @@
     ASSERT_TRUE(gate.stalled());
     unsigned admitted = 0;
     for (int ms = 0; ms < 1500; ms += 10) {
-        const GateDecision decision = gate.decide(kHalf, at(ms), random);
+        const GateDecision decision = gate.decide(kHalfLoaded, at(ms), random);
         admitted += decision.admitted ? 1 : 0;
         if (!decision.admitted) {
             EXPECT_EQ(decision.refusal, ResultCode::PoolStalled);
@@ -69,10 +69,10 @@
     EXPECT_LE(admitted, 10U);
     EXPECT_GE(admitted, 8U);
     gate.recordAnswer(at(1500));
-    EXPECT_TRUE(gate.decide(kHalf, at(1501), random).admitted);
+    EXPECT_TRUE(gate.decide(kHalfLoaded, at(1501), random).admitted);
 }
 
-TEST(PoolGate, RefusedCallersComeBackSpreadOut)
+TEST(PoolGate, RetryTimesOfRefusedCallersAreSpread)
 {
     PoolGate gate;
     Random random(7);
@@ -87,7 +87,7 @@
     EXPECT_GT(most, least * 2);
 }
 
-TEST(PoolGate, ThePaceIsTheMeanOfTheLastPauses)
+TEST(PoolGate, MeanEventIntervalCoversTheLatestIntervals)
 {
     PoolGate gate;
     EXPECT_FALSE(gate.meanEventInterval(at(0)));
@@ -105,44 +105,44 @@
 namespace
 {
 
-/** Events of some streams every @p pause, from @p from to @p to. */
-void playPauses(PoolGate &gate, int pause, int from, int to)
+/** Records events of several streams every @p interval ms, from @p from to @p to. */
+void recordStreams(PoolGate &gate, int interval, int from, int to)
 {
     constexpr int kStreams = 8;
-    for (int ms = from; ms <= to; ms += pause) {
+    for (int ms = from; ms <= to; ms += interval) {
         for (int i = 0; i < kStreams; ++i) {
             gate.recordAnswer(at(ms));
-            gate.recordEventInterval(milliseconds(pause), milliseconds(150), at(ms));
+            gate.recordEventInterval(milliseconds(interval), milliseconds(150), at(ms));
         }
     }
 }
 
 } // namespace
 
-TEST(PoolGate, APaceOfLongPassesIsKnownBetweenTheirEnds)
+TEST(PoolGate, MeanEventIntervalIsKnownBetweenEventsOfLongPasses)
 {
     PoolGate gate;
-    playPauses(gate, 400, 0, 2000);
+    recordStreams(gate, 400, 0, 2000);
     ASSERT_TRUE(gate.meanEventInterval(at(2390)));
     EXPECT_EQ(*gate.meanEventInterval(at(2390)), milliseconds(400));
-    EXPECT_FALSE(gate.meanEventInterval(at(6000))) << "nobody knows the pace of a group that has been idle";
+    EXPECT_FALSE(gate.meanEventInterval(at(6000))) << "the interval of an idle group is unknown";
 }
 
-TEST(PoolGate, TheNewestPassesCountAlone)
+TEST(PoolGate, MeanEventIntervalIgnoresEarlierPasses)
 {
     PoolGate gate;
-    playPauses(gate, 60, 0, 1200);
-    playPauses(gate, 150, 1350, 1800);
+    recordStreams(gate, 60, 0, 1200);
+    recordStreams(gate, 150, 1350, 1800);
     EXPECT_EQ(*gate.meanEventInterval(at(1810)), milliseconds(150));
 }
 
-// One rank that works at a twelfth of its speed makes passes of 1.2 s for all: a usual stream
-// of 19 events would take 23 s and its caller waits for 8.
-TEST(PoolGate, AStreamThatCantEndInTimeIsRefusedAtOnce)
+// A rank at a twelfth of its normal speed makes every pass of its group take 1.2 s: a typical
+// stream of 19 events would take 23 s, but its caller waits for only 8 s.
+TEST(PoolGate, StreamThatCannotMeetItsDeadlineIsRefused)
 {
     PoolGate gate;
     Random random(1);
-    playPauses(gate, 1200, 0, 3600);
+    recordStreams(gate, 1200, 0, 3600);
     PoolLoad usual{.runners = 4, .lowestLoad = 0.2, .events = 19, .timeLeft = milliseconds(8000)};
     const GateDecision refused = gate.decide(usual, at(3700), random);
     EXPECT_EQ(refused.refusal, ResultCode::PoolTooSlow);
@@ -150,9 +150,9 @@
     PoolLoad brief = usual;
     brief.events = 3;
     EXPECT_TRUE(gate.decide(brief, at(3700), random).admitted);
-    EXPECT_TRUE(gate.decide(usual, at(8000), random).admitted) << "a group that has been quiet is tried again";
+    EXPECT_TRUE(gate.decide(usual, at(8000), random).admitted) << "a group without recent events is tried again";
     PoolGate calm;
-    playPauses(calm, 200, 0, 2000);
+    recordStreams(calm, 200, 0, 2000);
     EXPECT_TRUE(calm.decide(usual, at(2010), random).admitted);
 }
 
--- a/testing/targettable_test.cpp
+++ b/testing/targettable_test.cpp
@@ -1,5 +1,5 @@
-// Which runner takes a request. Load patterns: one slow zone, a runner that fails in a
-// row, entries that lapse in an outage of the store.
+// Selection of the runner for a request: load and zone, repeated failures, slow runners, and
+// runners whose list entries expire during a store outage.
 
 #include "fulmarlink/targettable.h"
 
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST(TargetTable, TheLeastLoadedRunnerOfTheNearestZoneIsPicked)
+TEST(TargetTable, PicksLeastLoadedRunnerAndPrefersOwnZone)
 {
     TargetTable targets = table();
     targets.setTargets({target("a"), target("b", "far")}, at(0));
@@ -51,7 +51,7 @@
     EXPECT_EQ(picked(targets, at(0), {"a", "b"}), "");
 }
 
-TEST(TargetTable, AReportedLoadFades)
+TEST(TargetTable, ReportedLoadDecaysWithAge)
 {
     TargetTable targets = table();
     targets.setTargets({target("a"), target("b")}, at(0));
@@ -61,7 +61,7 @@
     EXPECT_EQ(picked(targets, at(4000)), "a");
 }
 
-TEST(TargetTable, ALeavingOrMissingRunnerGetsNothing)
+TEST(TargetTable, LeavingOrUnlistedRunnerIsNotPicked)
 {
     TargetTable targets = table();
     targets.setTargets({target("a"), target("b")}, at(0));
@@ -73,17 +73,17 @@
     EXPECT_EQ(targets.available("p", at(700)), 0U);
 }
 
-TEST(TargetTable, WhatAnOutageMadeVanishCountsForAWhile)
+TEST(TargetTable, RunnerMissingAfterOutageStaysUsableForGracePeriod)
 {
     TargetTable targets = table();
     targets.setTargets({target("a"), target("b")}, at(0));
-    targets.setTargets({target("a")}, at(6000)); // the first list after an outage
+    targets.setTargets({target("a")}, at(6000)); // first list after an outage
     EXPECT_TRUE(targets.isUsable("b", at(6500)));
     targets.setTargets({target("a")}, at(7600));
     EXPECT_FALSE(targets.isUsable("b", at(7600)));
 }
 
-TEST(TargetTable, ALeavingRunnerThatVanishesInAnOutageStaysAway)
+TEST(TargetTable, LeavingRunnerMissingAfterOutageIsNotUsable)
 {
     TargetTable targets = table();
     targets.setTargets({target("a", "near", true)}, at(0));
@@ -91,7 +91,7 @@
     EXPECT_FALSE(targets.isUsable("a", at(6100)));
 }
 
-TEST(TargetTable, ARunnerThatFailsInARowIsPassedOverUnlessAllAre)
+TEST(TargetTable, RepeatedlyFailingRunnerIsPickedOnlyIfNoOtherIsLeft)
 {
     TargetTable targets = table();
     targets.setTargets({target("a"), target("b")}, at(0));
@@ -105,7 +105,7 @@
     EXPECT_EQ(picked(targets, at(10)), "a");
 }
 
-TEST(TargetTable, RequestsOfARunnerThatIsGoneAreForgottenWithTheLast)
+TEST(TargetTable, UnlistedRunnerIsRemovedAfterItsLastRequest)
 {
     TargetTable targets = table();
     targets.setTargets({target("a")}, at(0));
@@ -116,14 +116,14 @@
     EXPECT_EQ(targets.size(), 0U);
 }
 
-TEST(TargetTable, ASlowRunnerGetsNothingWhileOthersAreThere)
+TEST(TargetTable, SlowRunnerIsPickedOnlyIfNoOtherIsLeft)
 {
     TargetTable targets = table();
     targets.setTargets({target("a"), target("b")}, at(0));
     targets.setSlow("p", "", {"a"});
     targets.requestSent("b");
     EXPECT_EQ(picked(targets, at(0)), "b");
-    EXPECT_EQ(picked(targets, at(0), {"b"}), "a") << "a slow runner is better than none";
+    EXPECT_EQ(picked(targets, at(0), {"b"}), "a") << "a slow runner is used if no other is left";
     targets.setSlow("other", "", {});
     EXPECT_EQ(picked(targets, at(0)), "b");
     targets.setSlow("p", "", {});
