--- a/fulmarlink/targettable.cpp
+++ b/fulmarlink/targettable.cpp
@@ -138,7 +138,8 @@
         // A retried request avoids runners that are in slow start or that recently refused more requests than they took.
         const bool slowStart = m_signals != nullptr && m_signals->inSlowStart({id, state.info.born}, now);
         const bool onProbation = !tried.empty() && (slowStart || state.refusals.hasRecentRefusals());
-        const bool deprioritized = state.ejectedUntil > now || state.refusals.isBackingOff(now) || onProbation || (state.slow && !mutated(Mutation::SendToSlow));
+        const bool deprioritized
+            = state.ejectedUntil > now || state.refusals.isBackingOff(now) || onProbation || (state.slow && !mutated(Mutation::SendToSlow));
         const std::pair key(deprioritized, score(state, now));
         const std::pair bestKey(best.candidate.deprioritized, best.candidate.load);
         if (best.ties > 0 && key > bestKey) {
