--- a/fulmarlink/enginemodel.h
+++ b/fulmarlink/enginemodel.h
@@ -7,32 +7,32 @@
 
 struct EngineSpec;
 
-/** What the ranks of a group have to do in one pass. */
+/** Work of the ranks of a group in one pass. */
 struct PassLoad {
-    double decodingRequests = 0; ///< requests of a rank that produce tokens
-    double promptTokens = 0; ///< that a rank reads
-    double contextTokens = 0; ///< of a writer, on average
-    double imbalance = 1; ///< tokens of the busiest rank's experts over the mean, averaged over the sets
+    double decodingRequests = 0; ///< requests per rank that generate tokens
+    double promptTokens = 0; ///< prompt tokens per rank
+    double contextTokens = 0; ///< mean context length of a decoding request
+    double imbalance = 1; ///< ratio of the busiest rank's expert tokens to the mean, averaged over the sets
 };
 
 /**
- * The length of a pass by the engine's own figures.
+ * Duration of a pass according to the engine's cost model.
  *
- * A pass makes stride steps; each takes a fixed time, a time for each writer and one for its
- * context. Prompts are read meanwhile. A share of all this falls to the experts, and there
- * the busiest rank keeps the others waiting.
+ * A pass has EngineSpec::stride steps. Each step takes a fixed time plus a time per decoding request, which grows with its context.
+ * Processing prompt tokens adds to this. The experts' share of the total is multiplied by the imbalance, as all ranks wait for the
+ * busiest one.
  *
  * Pure.
  */
 Duration passDuration(const EngineSpec &engine, const PassLoad &load);
 
-/** How long a rank copies @p copies experts that are new to it, one after the other. */
+/** Time that a rank takes to copy @p copies experts, one after the other. */
 Duration copyDuration(const EngineSpec &engine, unsigned copies);
 
-/** Experts whose copies take about @p budget, to the nearest; at least one. */
+/** Number of experts that can be copied in @p budget, rounded to the nearest integer; at least one. */
 unsigned copiesWithin(const EngineSpec &engine, Duration budget);
 
-/** How many times longer a pass becomes when the imbalance goes from @p from to @p to with the same work. */
+/** Ratio of the pass durations at the imbalances @p to and @p from, for the same work. */
 double passDurationRatio(const EngineSpec &engine, double from, double to);
 
 } // namespace fulmarlink
--- a/fulmarlink/expertload.cpp
+++ b/fulmarlink/expertload.cpp
@@ -17,11 +17,13 @@
     }
     m_difference.resize(read.counts.size());
     for (std::size_t set = 0; set < read.counts.size(); ++set) {
-        const auto &now = read.counts[set];
-        const auto &then = previous.counts[set];
-        m_difference[set].resize(now.size(), 0);
-        for (std::size_t expert = 0; expert < now.size() && expert < then.size(); ++expert) {
-            const double chosen = now[expert] >= then[expert] ? static_cast<double>(now[expert] - then[expert]) : static_cast<double>(now[expert]);
+        const auto &currentCounts = read.counts[set];
+        const auto &previousCounts = previous.counts[set];
+        m_difference[set].resize(currentCounts.size(), 0);
+        for (std::size_t expert = 0; expert < currentCounts.size() && expert < previousCounts.size(); ++expert) {
+            // A counter that went backwards started again at 0.
+            const double chosen = currentCounts[expert] >= previousCounts[expert] ? static_cast<double>(currentCounts[expert] - previousCounts[expert])
+                                                                                  : static_cast<double>(currentCounts[expert]);
             m_difference[set][expert] += chosen;
             m_pendingChoices += chosen;
         }
--- a/fulmarlink/expertload.h
+++ b/fulmarlink/expertload.h
@@ -12,19 +12,19 @@
 {
 
 /**
- * Turns the ranks' counts since their start into what is in demand now: the differences
- * between two reads of the same start of a rank in the same epoch, summed over the ranks read.
+ * Derives the current expert load from the cumulative counts of the ranks: the differences between consecutive reads of a rank,
+ * summed over the ranks read. Only reads of the same rank start and the same epoch are compared.
  *
  * Contract: pure; not thread-safe.
  */
 class ExpertLoad
 {
 public:
-    /** Counts of @p target; a read of another epoch or start begins anew. */
+    /** Adds a read of @p target. If its epoch, start time or number of sets changed since the previous read, it only sets a new baseline. */
     void add(const std::string &target, const ExpertCountsRead &read);
-    /** What was chosen between the last two reads, by set, by expert; empty before two reads of one rank. */
+    /** Returns and resets the accumulated choices, by set and expert; empty until one rank has been read twice. */
     std::vector<std::vector<double>> take();
-    /** Choices in the differences gathered and not taken yet. */
+    /** Number of choices accumulated since the last take(). */
     double pendingChoices() const;
     void clear();
 
--- a/fulmarlink/expertplanner.cpp
+++ b/fulmarlink/expertplanner.cpp
@@ -28,17 +28,17 @@
 
 } // namespace
 
-/** One set of layers while it is improved. Invariant: m_holders and m_loads agree with m_ranks. */
+/** Search state of one set of layers. Invariant: m_holders and m_loads agree with m_ranks. */
 class ExpertPlanner::SetSearch
 {
 public:
-    /** @p copies counts the new experts of each rank over all sets. */
+    /** @p copies counts the new experts of each rank and is shared by all sets. */
     SetSearch(RankExperts ranks, const std::vector<double> &load, const ExpertPlanOptions &options, std::vector<unsigned> &copies)
-        : m_before(ranks)
+        : m_initialRanks(ranks)
         , m_ranks(std::move(ranks))
-        , m_loadOf(load)
-        , m_optionsOf(options)
-        , m_copiesOf(copies)
+        , m_loadRef(load)
+        , m_optionsRef(options)
+        , m_copiesRef(copies)
         , m_holders(load.size())
         , m_added(m_ranks.size(), 0)
         , m_delta(m_ranks.size(), 0)
@@ -52,19 +52,19 @@
         m_mean = std::accumulate(load.begin(), load.end(), 0.0) / static_cast<double>(m_loads.size());
     }
 
-    /** Load of the busiest rank above the mean; 0 once no change is worth it. */
+    /** Load of the busiest rank above the mean; 0 once no change is worth its copies. */
     double excess() const
     {
         return m_exhausted ? 0 : *std::ranges::max_element(m_loads) - m_mean;
     }
 
-    /** Makes the best change for the busiest rank, if one is worth its copying. */
+    /** Applies the best change for the busiest rank if it is worth its copies; otherwise the search of this set ends. */
     void improve()
     {
         const auto busiest = static_cast<std::size_t>(std::ranges::max_element(m_loads) - m_loads.begin());
         const auto change = best(busiest);
-        const double least = std::max(m_loads[busiest] - m_mean, m_mean) * m_optionsOf.get().minGain;
-        m_exhausted = !change || change->relief < least;
+        const double minRelief = std::max(m_loads[busiest] - m_mean, m_mean) * m_optionsRef.get().minGain;
+        m_exhausted = !change || change->relief < minRelief;
         if (!m_exhausted) {
             apply(busiest, *change);
         }
@@ -77,34 +77,34 @@
 
 private:
     struct Change {
-        ExpertId expert = 0; ///< of the busiest rank
-        std::size_t other = 0; ///< the rank that takes it
-        std::optional<ExpertId> evicted = std::nullopt; ///< leaves the other rank
-        bool exchange = false; ///< the evicted one comes to the busiest rank, and expert leaves it
-        bool drop = false; ///< expert leaves the busiest rank; the others that hold it take its load
-        double squares = 0; ///< change of the sum of squared loads
-        double relief = 0; ///< of the busiest rank
+        ExpertId expert = 0; ///< on the busiest rank
+        std::size_t other = 0; ///< rank that receives it
+        std::optional<ExpertId> evicted = std::nullopt; ///< expert removed from the other rank
+        bool exchange = false; ///< expert and evicted change places between the two ranks
+        bool drop = false; ///< the replica on the busiest rank is removed; the remaining replicas take its load
+        double squares = 0; ///< change of the sum of squared rank loads
+        double relief = 0; ///< load taken off the busiest rank
     };
 
     double share(ExpertId expert) const
     {
-        return m_loadOf.get()[expert] / static_cast<double>(std::max<std::size_t>(1, m_holders[expert].size()));
+        return m_loadRef.get()[expert] / static_cast<double>(std::max<std::size_t>(1, m_holders[expert].size()));
     }
 
     double slowdown(std::size_t rank) const
     {
-        return slowdownOf(m_optionsOf.get().slowdowns, rank);
+        return slowdownOf(m_optionsRef.get().slowdowns, rank);
     }
 
     bool isNew(std::size_t rank, ExpertId expert) const
     {
-        return !contains(m_before[rank], expert);
+        return !contains(m_initialRanks[rank], expert);
     }
 
     bool mayAdd(std::size_t rank, ExpertId expert) const
     {
         return !contains(m_ranks[rank], expert)
-               && (!isNew(rank, expert) || (m_added[rank] < m_optionsOf.get().maxNewPerSet && m_copiesOf.get()[rank] < m_optionsOf.get().maxNewPerRank));
+               && (!isNew(rank, expert) || (m_added[rank] < m_optionsRef.get().maxNewPerSet && m_copiesRef.get()[rank] < m_optionsRef.get().maxNewPerRank));
     }
 
     static double square(double value)
@@ -112,11 +112,11 @@
         return value * value;
     }
 
-    /** A further replica of @p expert at @p other, where @p evicted (held elsewhere too) makes room. */
+    /** Evaluates a new replica of @p expert on @p other, in place of @p evicted if given, which must have other replicas. */
     Change replica(std::size_t busiest, ExpertId expert, std::size_t other, std::optional<ExpertId> evicted) const
     {
         const double now = share(expert);
-        const double then = m_loadOf.get()[expert] / static_cast<double>(m_holders[expert].size() + 1);
+        const double then = m_loadRef.get()[expert] / static_cast<double>(m_holders[expert].size() + 1);
         m_touched.clear();
         for (const std::size_t rank : m_holders[expert]) {
             shift(rank, then - now);
@@ -124,27 +124,27 @@
         shift(other, then);
         if (evicted) {
             const double evictedNow = share(*evicted);
-            const double evictedThen = m_loadOf.get()[*evicted] / static_cast<double>(m_holders[*evicted].size() - 1);
+            const double evictedThen = m_loadRef.get()[*evicted] / static_cast<double>(m_holders[*evicted].size() - 1);
             for (const std::size_t rank : m_holders[*evicted]) {
                 shift(rank, rank == other ? -evictedNow : evictedThen - evictedNow);
             }
         }
-        return settled({.expert = expert, .other = other, .evicted = evicted}, busiest);
+        return evaluate({.expert = expert, .other = other, .evicted = evicted}, busiest);
     }
 
-    /** @p expert stays on its other holders only. */
-    Change dropped(std::size_t busiest, ExpertId expert) const
+    /** Evaluates the removal of the replica of @p expert on the busiest rank. */
+    Change removal(std::size_t busiest, ExpertId expert) const
     {
         const double now = share(expert);
-        const double then = m_loadOf.get()[expert] / static_cast<double>(m_holders[expert].size() - 1);
+        const double then = m_loadRef.get()[expert] / static_cast<double>(m_holders[expert].size() - 1);
         m_touched.clear();
         for (const std::size_t rank : m_holders[expert]) {
             shift(rank, rank == busiest ? -now : then - now);
         }
-        return settled({.expert = expert, .other = busiest, .drop = true}, busiest);
+        return evaluate({.expert = expert, .other = busiest, .drop = true}, busiest);
     }
 
-    /** A change of @p rank's load, kept until settled(). */
+    /** Adds @p amount, times the rank's slowdown, to the tentative load change of @p rank, which evaluate() applies to a change and resets. */
     void shift(std::size_t rank, double amount) const
     {
         if (m_delta[rank] == 0) {
@@ -153,8 +153,8 @@
         m_delta[rank] += amount * slowdown(rank);
     }
 
-    /** Completes @p change by the shifts since m_touched was cleared. */
-    Change settled(Change change, std::size_t busiest) const
+    /** Fills in squares and relief of @p change from the tentative load changes, and resets these. */
+    Change evaluate(Change change, std::size_t busiest) const
     {
         for (const std::size_t rank : m_touched) {
             change.squares += square(m_loads[rank] + m_delta[rank]) - square(m_loads[rank]);
@@ -164,6 +164,7 @@
         return change;
     }
 
+    /** Evaluates an exchange of @p expert for @p back on @p other; nothing if the busiest rank can't take @p back. */
     std::optional<Change> exchange(std::size_t busiest, ExpertId expert, std::size_t other, ExpertId back) const
     {
         if (contains(m_ranks[busiest], back) || !mayAdd(busiest, back)) {
@@ -173,7 +174,7 @@
         m_touched.clear();
         shift(busiest, -moved);
         shift(other, moved);
-        return settled({.expert = expert, .other = other, .evicted = back, .exchange = true}, busiest);
+        return evaluate({.expert = expert, .other = other, .evicted = back, .exchange = true}, busiest);
     }
 
     void consider(std::optional<Change> change, std::optional<Change> &best) const
@@ -188,20 +189,20 @@
         std::optional<Change> best;
         for (const ExpertId expert : m_ranks[busiest]) {
             if (m_holders[expert].size() > 1) {
-                consider(dropped(busiest, expert), best);
+                consider(removal(busiest, expert), best);
             }
             for (std::size_t other = 0; other < m_ranks.size(); ++other) {
                 if (other == busiest || m_loads[other] >= m_loads[busiest] || !mayAdd(other, expert)) {
                     continue;
                 }
-                if (m_ranks[other].size() < m_optionsOf.get().maxExpertsPerRank) {
+                if (m_ranks[other].size() < m_optionsRef.get().maxExpertsPerRank) {
                     consider(replica(busiest, expert, other, std::nullopt), best);
                 }
-                for (const ExpertId there : m_ranks[other]) {
-                    if (m_holders[there].size() > 1 && m_ranks[other].size() >= m_optionsOf.get().maxExpertsPerRank) {
-                        consider(replica(busiest, expert, other, there), best);
+                for (const ExpertId resident : m_ranks[other]) {
+                    if (m_holders[resident].size() > 1 && m_ranks[other].size() >= m_optionsRef.get().maxExpertsPerRank) {
+                        consider(replica(busiest, expert, other, resident), best);
                     }
-                    consider(exchange(busiest, expert, other, there), best);
+                    consider(exchange(busiest, expert, other, resident), best);
                 }
             }
         }
@@ -211,7 +212,7 @@
     void add(std::size_t rank, ExpertId expert)
     {
         m_added[rank] += isNew(rank, expert) ? 1 : 0;
-        m_copiesOf.get()[rank] += isNew(rank, expert) ? 1 : 0;
+        m_copiesRef.get()[rank] += isNew(rank, expert) ? 1 : 0;
         m_ranks[rank].push_back(expert);
         m_holders[expert].push_back(rank);
     }
@@ -219,7 +220,7 @@
     void remove(std::size_t rank, ExpertId expert)
     {
         m_added[rank] -= isNew(rank, expert) ? 1 : 0;
-        m_copiesOf.get()[rank] -= isNew(rank, expert) ? 1 : 0;
+        m_copiesRef.get()[rank] -= isNew(rank, expert) ? 1 : 0;
         std::erase(m_ranks[rank], expert);
         std::erase(m_holders[expert], rank);
     }
@@ -252,23 +253,24 @@
         }
     }
 
-    RankExperts m_before;
+    RankExperts m_initialRanks;
     RankExperts m_ranks;
-    std::reference_wrapper<const std::vector<double>> m_loadOf;
-    std::reference_wrapper<const ExpertPlanOptions> m_optionsOf;
-    std::reference_wrapper<std::vector<unsigned>> m_copiesOf;
-    std::vector<std::vector<std::size_t>> m_holders; ///< ranks that hold an expert
-    std::vector<unsigned> m_added; ///< new experts, by rank
-    std::vector<double> m_loads; ///< by rank
+    std::reference_wrapper<const std::vector<double>> m_loadRef;
+    std::reference_wrapper<const ExpertPlanOptions> m_optionsRef;
+    std::reference_wrapper<std::vector<unsigned>> m_copiesRef;
+    std::vector<std::vector<std::size_t>> m_holders; ///< by expert, the ranks that hold it
+    std::vector<unsigned> m_added; ///< by rank, experts of this set that are new to it
+    std::vector<double> m_loads; ///< by rank, including its slowdown
     double m_mean = 0;
     bool m_exhausted = false;
-    mutable std::vector<double> m_delta; ///< by rank, all 0 between calls; kept to save allocations
-    mutable std::vector<std::size_t> m_touched; ///< ranks whose m_delta is in use
+    mutable std::vector<double> m_delta; ///< by rank, tentative load change; all 0 between calls; a member to avoid allocations
+    mutable std::vector<std::size_t> m_touched; ///< ranks with an entry in m_delta
 };
 
 namespace
 {
 
+/** Applies minShareIfSlow to @p load. */
 std::vector<std::vector<double>> withMinShare(std::vector<std::vector<double>> load, const ExpertPlanOptions &options)
 {
     const bool anySlow = std::ranges::any_of(options.slowdowns, [](double slowdown) {
@@ -296,17 +298,17 @@
             ++holders[expert];
         }
     }
-    double most = 0;
+    double highest = 0;
     double total = 0;
     for (std::size_t rank = 0; rank < ranks.size(); ++rank) {
         double own = 0;
         for (const ExpertId expert : ranks[rank]) {
             own += load[expert] / holders[expert];
         }
-        most = std::max(most, own * slowdownOf(slowdowns, rank));
+        highest = std::max(highest, own * slowdownOf(slowdowns, rank));
         total += own;
     }
-    return total > 0 ? most * static_cast<double>(ranks.size()) / total : 1;
+    return total > 0 ? highest * static_cast<double>(ranks.size()) / total : 1;
 }
 
 ExpertPlanner::ExpertPlanner(GroupMap current, std::vector<std::vector<double>> load, ExpertPlanOptions options)
--- a/fulmarlink/expertplanner.h
+++ b/fulmarlink/expertplanner.h
@@ -9,48 +9,53 @@
 {
 
 struct ExpertPlanOptions {
-    unsigned maxExpertsPerRank = 0; ///< experts that a rank may hold of a set
-    unsigned maxNewPerSet = 0; ///< experts new to a rank, of a set
-    unsigned maxNewPerRank = 8; ///< experts new to a rank, over all sets: they are copied one after the other, and the switch waits for the slowest rank
-    /** A change must take away this share of the busiest rank's excess over the mean; smaller ones cost more copying than they save. */
+    unsigned maxExpertsPerRank = 0; ///< experts of one set that a rank may hold
+    unsigned maxNewPerSet = 0; ///< experts of one set that a rank may copy in one switch
+    unsigned maxNewPerRank = 8; ///< experts of all sets that a rank may copy; copies are sequential and the switch waits for the last rank
+    /**
+     * Minimum reduction of the busiest rank's load by a change, as a share of that rank's excess over the mean, or of the mean if that is larger.
+     * Smaller changes cost more copying than they save.
+     */
     double minGain = 0.04;
     unsigned maxChanges = 768; ///< bounds the search
     /**
-     * Where a rank is slow every expert counts at least as this share of the set's mean expert: what is cold now may be hot after the next turn, and
-     * then the whole group would wait for the slow rank again. On days with a slow rank 0.025 to 0.09 of worth on three sites, by 8 plays each.
+     * If a rank is slow, the load of every expert counts as at least this share of the mean expert load of its set. An expert that is cold now may be
+     * hot after the next demand shift, and the whole group would then wait for the slow rank again. With a slow rank this raised the score by
+     * 0.025 to 0.09 at three sites, in 8 simulations each.
      */
     double minShareIfSlow = 0.5;
-    std::vector<double> slowdowns = {}; ///< by rank, how many times longer its work takes than it should; empty: 1 each
+    std::vector<double> slowdowns = {}; ///< by rank, ratio of the actual to the expected processing time; empty: 1 for all
 };
 
-/** What a plan changes. */
+/** A planned map, and its effect and cost. */
 struct ExpertPlan {
     GroupMap map;
-    double imbalanceBefore = 1; ///< busiest rank over mean, averaged over the sets, of the current map
-    double imbalanceAfter = 1; ///< of the planned one
-    unsigned copies = 0; ///< experts that ranks must copy
-    unsigned maxRankCopies = 0; ///< of one rank, over all sets; they are copied one after the other
+    double imbalanceBefore = 1; ///< of the current map: ratio of the busiest rank to the mean, averaged over the sets
+    double imbalanceAfter = 1; ///< of the planned map
+    unsigned copies = 0; ///< experts to copy, over all ranks
+    unsigned maxRankCopies = 0; ///< highest number of copies of one rank, over all sets; they are made sequentially
 };
 
-/** Busiest rank over mean rank of one set; 1 is perfect. @p slowdowns as in the options: the busiest is the one that takes longest. */
+/**
+ * Ratio of the busiest rank's load to the mean in one set; 1 is perfect balance. The load of a rank is multiplied by its entry in
+ * @p slowdowns (as in ExpertPlanOptions) for the busiest rank, not for the mean.
+ */
 double setImbalance(const std::vector<std::vector<ExpertId>> &ranks, const std::vector<double> &load, std::span<const double> slowdowns = {});
 
 /**
- * Improves the map of a group for the given loads (by set, by expert).
+ * Greedy local search for a better expert map of a group under the given loads (by set and expert).
  *
- * Step by step, in the set whose busiest rank has most above the mean, that rank is
- * relieved by the change that lowers the sum of the squared rank loads most: a further
- * replica elsewhere (in a free place, or in that of an expert that is held twice), or an
- * exchange with an expert of a less loaded rank, or by leaving an expert to its other
- * holders. A rank's load counts as many times as its pace, so a slow rank is emptied. It ends when no change is worth its
- * copying, or when every rank has taken as many new experts as one switch allows.
+ * Each step takes the set whose busiest rank is furthest above the mean and applies to that rank the change that lowers the sum of
+ * squared rank loads most. A change adds a replica of one of its experts on another rank (in free space, or in place of an expert
+ * that has other replicas), exchanges an expert with a less loaded rank, or removes a replica. The load of a rank is multiplied by
+ * its slowdown, so that experts move away from slow ranks. The search ends when no change is worth its copies or the limits of the
+ * options allow none.
  *
- * How to use: improve() until it gives false, with other work in between if a plan for a
- * large group (some ten milliseconds of a core) must not hold it up; then plan().
+ * Usage: call improve() until it returns false, then plan(). Planning for a large group takes some ten milliseconds of CPU time;
+ * other work can run between the calls.
  *
- * Contract: every expert stays on at least one rank; no rank holds an expert twice, more
- * than @p maxExpertsPerRank, or more new ones than the options allow. Pure.
- * O(maxExpertsPerRank^2 x ranks) a change.
+ * Contract: every expert stays on at least one rank. No rank holds an expert twice, or more experts or more new experts than the
+ * options allow. Pure. O(maxExpertsPerRank^2 * ranks) per change.
  */
 class ExpertPlanner
 {
@@ -60,7 +65,7 @@
     ExpertPlanner(const ExpertPlanner &) = delete;
     ExpertPlanner &operator=(const ExpertPlanner &) = delete;
 
-    /** Makes up to @p changes changes; false when none is left. */
+    /** Applies up to @p changes changes; returns false when the search has ended. */
     bool improve(unsigned changes);
     ExpertPlan plan() const;
 
@@ -68,15 +73,15 @@
     class SetSearch;
 
     const GroupMap m_current;
-    const std::vector<std::vector<double>> m_planLoad; ///< as planned for, see minShareIfSlow
-    const std::vector<std::vector<double>> m_observedLoad; ///< as given
+    const std::vector<std::vector<double>> m_planLoad; ///< with minShareIfSlow applied; the search uses it
+    const std::vector<std::vector<double>> m_observedLoad; ///< as given; the reported imbalances use it
     const ExpertPlanOptions m_options;
-    std::vector<unsigned> m_copies; ///< new experts of each rank over all sets
+    std::vector<unsigned> m_copies; ///< new experts of each rank, over all sets
     std::vector<SetSearch> m_searches;
     unsigned m_changes = 0;
 };
 
-/** A whole plan in one call. */
+/** Runs a complete search. */
 ExpertPlan planExperts(const GroupMap &current, const std::vector<std::vector<double>> &load, const ExpertPlanOptions &options);
 
 } // namespace fulmarlink
--- a/fulmarlink/layersearch.h
+++ b/fulmarlink/layersearch.h
@@ -9,15 +9,13 @@
 {
 
 /**
- * Local search on one layer: finds the change that most relieves the busiest rank.
+ * Local search on one layer: finds the change that lowers the load of the busiest rank most.
  *
- * A change is a swap of two slots of two ranks (two copies to load), or a slot of a
- * replicated expert that is overwritten by a replica of one on the busiest rank (one
- * copy). Invariant: rank loads and replica counts agree with the map.
+ * A change either swaps two slots between ranks (two copies to load) or overwrites a slot of a replicated expert with a replica of
+ * an expert on the busiest rank (one copy). Invariant: rank loads and replica counts agree with the map.
  *
- * Spare replicas are looked for on all ranks, partners of a swap on the eight least
- * loaded ones. Complexity of bestChange():
- * O(slotsPerRank * slots); of apply(): O(slots + ranks log ranks).
+ * Slots to overwrite are considered on all ranks, swaps only with the eight least loaded ones. bestChange() is
+ * O(slotsPerRank * slots), apply() is O(slots + ranks log ranks).
  */
 class LayerSearch
 {
@@ -27,17 +25,19 @@
     struct Change {
         std::size_t slot = 0; ///< on the busiest rank
         std::size_t other = 0;
-        bool replicate = false; ///< other is overwritten by slot's expert; else the two swap
-        double peak = 0; ///< of all ranks, after it
-        double touchedPeak = 0; ///< the higher load of the ranks that it touches; decides between equal peaks
-        unsigned copies = 0;
+        bool replicate = false; ///< other is overwritten with the expert of slot; otherwise the two are swapped
+        double peak = 0; ///< highest load of all ranks after the change
+        double touchedPeak = 0; ///< highest load of the affected ranks after the change; decides between equal peaks
+        unsigned copies = 0; ///< expert copies to load
     };
 
-    /** The change that gives the lowest peak, if any lowers it. */
+    /** The change that results in the lowest peak; nothing if none relieves the busiest rank. */
     std::optional<Change> bestChange() const;
     void apply(const Change &change);
 
+    /** Highest rank load. */
     double peak() const;
+    /** Mean rank load. */
     double mean() const;
     const LayerMap &map() const;
 
@@ -52,9 +52,9 @@
 
     LayerMap m_map;
     LayerLoad m_load;
-    std::vector<unsigned> m_counts;
-    std::vector<std::vector<unsigned>> m_holders; ///< ranks, by expert
-    std::vector<double> m_ranks;
+    std::vector<unsigned> m_counts; ///< by expert, its replicas
+    std::vector<std::vector<unsigned>> m_holders; ///< by expert, the rank of each replica
+    std::vector<double> m_rankLoads;
     std::vector<unsigned> m_order; ///< ranks, busiest first
 };
 
--- a/fulmarlink/mapplanner.h
+++ b/fulmarlink/mapplanner.h
@@ -11,34 +11,34 @@
 
 class LoadForecast;
 
-/** What a deployment weighs, and what the platform allows. */
+/** Weights of a deployment's objectives, and limits of the platform. */
 struct PlannerWeights {
-    double skewWeight = 1; ///< worth of a second of step time saved
-    double costWeight = 1; ///< worth of a second of the weight store's budget
-    double quietFactor = 10; ///< costs count so many times in a quiet window
+    double skewWeight = 1; ///< value of one second of step time saved
+    double costWeight = 1; ///< cost of one second of weight store transfer
+    double quietFactor = 10; ///< multiplies copy costs in a quiet window
     bool quiet = false;
-    double stepSeconds = 0.05; ///< of a step at perfect balance, over all layers
+    double stepSeconds = 0.05; ///< duration of a step at perfect balance, over all layers
     double stepsPerInterval = 1200;
-    double horizonIntervals = 10; ///< how long a move is taken to pay
-    double expertBytes = 44e6; ///< of one expert of one layer
-    double storeBytesPerSecond = 2e9; ///< this group's share of the weight store
-    double maxBytes = 1e18; ///< that may be moved in this interval
-    unsigned maxForecastAge = 3; ///< intervals without a report before a layer is left alone
+    double horizonIntervals = 10; ///< intervals over which a change is assumed to pay off
+    double expertBytes = 44e6; ///< size of one expert of one layer
+    double storeBytesPerSecond = 2e9; ///< bandwidth share of this group at the weight store
+    double maxBytes = 1e18; ///< bytes that may be copied in this interval
+    unsigned maxForecastAge = 3; ///< intervals without a report from which on a layer's map is kept
 };
 
-/** One layer's input. */
+/** Input of one layer. */
 struct LayerInput {
     const LayerMap &current;
-    const LayerLoad &lastLoad; ///< the last interval's load
+    const LayerLoad &lastLoad; ///< load of the last interval
     const LoadForecast &forecast;
-    const LayerLoad *nextLoad = nullptr; ///< the next interval's true load; only for the bound
+    const LayerLoad *nextLoad = nullptr; ///< actual load of the next interval; set in simulations only, for the clairvoyant planner
 };
 
 /**
- * Plans the next map of a group. Planners are plug-ins by name.
+ * Plans the next expert map of a group. Implementations are registered by name.
  *
- * Contract: gives one map for each layer of the input, each valid (isValidLayer()); a
- * planner that finds nothing worth its price gives the current one. Pure.
+ * Contract: returns one valid map (isValidLayer()) for each layer of the input, which is the current map if no change is worth its
+ * cost. Pure.
  */
 class MapPlanner
 {
@@ -50,7 +50,7 @@
 using MapPlannerRegistry = Registry<MapPlanner>;
 using MapPlannerRegistrar = Registrar<MapPlanner>;
 
-/** Full greedy placement: replicate the busiest, then pack the largest first. The slots of each rank are kept in place where its experts stay. */
+/** Computes a new placement: replicates the busiest experts, then assigns replicas to ranks, heaviest first. Experts that stay on a rank keep their slots. */
 LayerMap packGreedily(const LayerMap &current, const LayerLoad &load);
 
 } // namespace fulmarlink
--- a/fulmarlink/mapplanners.cpp
+++ b/fulmarlink/mapplanners.cpp
@@ -1,15 +1,17 @@
-// The planners. Baselines: never (keeps the first map), full_greedy (a whole new
-// placement each interval from the last interval's loads, the idea published as EPLB
-// with DeepSeek-V3), threshold_swap (one swap a layer when the busiest rank is a fifth
-// above the mean) and clairvoyant (knows the next interval; the bound).
+// Implementations of MapPlanner.
 //
-// priced: the product's own. For each layer it improves the current map by single
-// changes on the forecast, as long as the busiest rank gets relief, and remembers the
-// net worth after each: step time saved over the horizon, less the price of the copies.
-// It keeps the prefix with the highest worth, none if that is not positive, or a whole new
-// placement if that is worth clearly more. What the
-// forecast can't see (its own recent error) is taken off the saving first, so noise
-// moves nothing. With an old forecast it leaves the layer alone.
+// Baselines: never (keeps the current map), full_greedy (computes a new placement in each
+// interval from the loads of the last one; the idea was published as EPLB with DeepSeek-V3),
+// threshold_swap (one swap per layer if the busiest rank is a fifth above the mean) and
+// clairvoyant (knows the loads of the next interval; the bound for the others).
+//
+// priced is this project's own planner. For each layer it improves the current map by single
+// changes on the forecast load, as long as they relieve the busiest rank, and computes the
+// net benefit after each: the step time saved over the horizon, less the cost of the
+// copies. It applies the changes up to the highest net benefit, none if that is not
+// positive, or a new placement if that is clearly better. The recent forecast error is
+// subtracted from the saving first, so that noise causes no copies. A layer whose forecast
+// is too old keeps its map.
 
 #include <algorithm>
 #include <cmath>
@@ -26,13 +28,13 @@
 namespace
 {
 
-constexpr double kSwapThreshold = 1.2;
-constexpr unsigned kMaxChangesPerRank = 2; ///< bounds the search: changes a layer, times ranks
-constexpr double kBlindShare = 0.8; ///< of a rank's noise that a gain must be above
-constexpr double kRepackMargin = 1.1; ///< a new placement must be worth so much more than single changes
-constexpr unsigned kMaxFruitless = 6; ///< changes in a row that don't raise the worth
+constexpr double kSwapThreshold = 1.2; ///< imbalance above which threshold_swap acts
+constexpr unsigned kMaxChangesPerRank = 2; ///< bounds the search: changes of a layer, per rank
+constexpr double kForecastErrorShare = 0.8; ///< share of the forecast error of a rank's load that is subtracted from a gain
+constexpr double kRepackAdvantage = 1.1; ///< a new placement must be this much better than single changes
+constexpr unsigned kMaxChangesWithoutGain = 6; ///< consecutive changes without a higher net benefit that end the search
 
-/** Experts by replica, the heaviest replica first. */
+/** Chooses replica counts that fill @p slots slots; returns one entry per replica, the replica with the highest load first. */
 std::vector<ExpertId> replicasByLoad(const LayerLoad &load, std::size_t slots)
 {
     std::vector<unsigned> counts(load.size(), 1);
@@ -57,7 +59,7 @@
     return replicas;
 }
 
-/** Puts the experts of each rank into the slots where they were, if they were there. */
+/** Builds a map with the experts of @p byRank; an expert that stays on its rank keeps its slot. */
 LayerMap keepInPlace(const LayerMap &current, const std::vector<std::vector<ExpertId>> &byRank)
 {
     LayerMap result = current;
@@ -149,7 +151,8 @@
     }
 };
 
-LayerMap searchFreely(LayerMap start, const LayerLoad &load)
+/** Improves the map by single changes, whatever the copies cost. */
+LayerMap searchWithoutCost(LayerMap start, const LayerLoad &load)
 {
     LayerSearch search(std::move(start), load);
     for (unsigned i = 0; i < search.map().ranks * kMaxChangesPerRank; ++i) {
@@ -170,8 +173,8 @@
         ExpertMap result;
         for (const LayerInput &layer : layers) {
             const LayerLoad &load = layer.nextLoad != nullptr ? *layer.nextLoad : layer.lastLoad;
-            LayerMap packed = searchFreely(packGreedily(layer.current, load), load);
-            LayerMap kept = searchFreely(layer.current, load);
+            LayerMap packed = searchWithoutCost(packGreedily(layer.current, load), load);
+            LayerMap kept = searchWithoutCost(layer.current, load);
             result.push_back(imbalance(packed, load) < imbalance(kept, load) ? packed : kept);
         }
         return result;
@@ -197,38 +200,38 @@
     {
         LayerSearch search(layer.current, layer.forecast.next());
         const double before = search.peak() / search.mean();
-        // A layer's share of the step, stretched by its imbalance, over the horizon.
+        // Step time of this layer over the horizon; it grows in proportion to the imbalance.
         const double secondsPerUnit = weights.stepSeconds / static_cast<double>(layers) * weights.stepsPerInterval * weights.horizonIntervals;
         const double secondsPerCopy = weights.expertBytes / weights.storeBytesPerSecond * (weights.quiet ? weights.quietFactor : 1);
-        const double blind = kBlindShare * layer.forecast.relativeError() / std::sqrt(static_cast<double>(layer.current.slotsPerRank));
+        const double forecastError = kForecastErrorShare * layer.forecast.relativeError() / std::sqrt(static_cast<double>(layer.current.slotsPerRank));
         LayerMap best = layer.current;
-        double bestWorth = 0;
+        double bestBenefit = 0;
         unsigned copies = 0;
         unsigned bestCopies = 0;
-        unsigned fruitless = 0;
-        for (unsigned i = 0; i < layer.current.ranks * kMaxChangesPerRank && fruitless < kMaxFruitless; ++i) {
+        unsigned changesWithoutGain = 0;
+        for (unsigned i = 0; i < layer.current.ranks * kMaxChangesPerRank && changesWithoutGain < kMaxChangesWithoutGain; ++i) {
             const auto change = search.bestChange();
             if (!change || (copies + change->copies) * weights.expertBytes > bytesLeft) {
                 break;
             }
             search.apply(*change);
             copies += change->copies;
-            const double gain = before - search.peak() / search.mean() - blind;
-            const double worth = gain * secondsPerUnit * weights.skewWeight - copies * secondsPerCopy * weights.costWeight;
-            ++fruitless;
-            if (worth > bestWorth) {
-                bestWorth = worth;
+            const double gain = before - search.peak() / search.mean() - forecastError;
+            const double benefit = gain * secondsPerUnit * weights.skewWeight - copies * secondsPerCopy * weights.costWeight;
+            ++changesWithoutGain;
+            if (benefit > bestBenefit) {
+                bestBenefit = benefit;
                 best = search.map();
                 bestCopies = copies;
-                fruitless = 0;
+                changesWithoutGain = 0;
             }
         }
-        // A whole new placement is dear and seldom worth it; single changes get stuck where it would not.
+        // A new placement costs many copies and is seldom better, but single changes can end in a local optimum.
         const LayerMap packed = packGreedily(layer.current, layer.forecast.next());
         const unsigned packedCopies = copiesBetween(layer.current, packed);
-        const double packedGain = before - imbalance(packed, layer.forecast.next()) - blind;
-        const double packedWorth = packedGain * secondsPerUnit * weights.skewWeight - packedCopies * secondsPerCopy * weights.costWeight;
-        if (packedWorth > kRepackMargin * bestWorth && packedWorth > 0 && packedCopies * weights.expertBytes <= bytesLeft) {
+        const double packedGain = before - imbalance(packed, layer.forecast.next()) - forecastError;
+        const double packedBenefit = packedGain * secondsPerUnit * weights.skewWeight - packedCopies * secondsPerCopy * weights.costWeight;
+        if (packedBenefit > kRepackAdvantage * bestBenefit && packedBenefit > 0 && packedCopies * weights.expertBytes <= bytesLeft) {
             best = packed;
             bestCopies = packedCopies;
         }
