--- a/bench/planner_bench.cpp
+++ b/bench/planner_bench.cpp
@@ -1,8 +1,10 @@
-// Planners of expert maps on drifting popularity: one table for each drift pattern,
-// group size and deployment's weights. A step lasts as long as its busiest rank.
+// Compares the expert map planners under drifting expert popularity: one table for each
+// drift pattern and group size, with a row for each planner and set of weights. A step
+// takes as long as its busiest rank.
 //
-// Seeds 1 to 5 were used to tune the planner; 101 to 105 are kept apart and printed
-// by default. planner_bench [--tuning] [--quick]
+// Usage: planner_bench [--tuning] [--quick]
+// Seeds 101 to 105 are the validation set and the default. --tuning uses seeds 1 to 5, with
+// which the planner was tuned.
 
 #include <algorithm>
 #include <chrono>
@@ -24,8 +26,8 @@
 constexpr unsigned kExperts = 256;
 constexpr unsigned kLayers = 4;
 constexpr double kTokensPerInterval = 5e6;
-constexpr double kSpread = 0.8; ///< of log popularity
-constexpr unsigned kWarmup = 10; ///< intervals not counted
+constexpr double kPopularitySpread = 0.8; ///< standard deviation of the log popularity
+constexpr unsigned kWarmup = 10; ///< intervals excluded from the results
 
 enum class Drift : std::uint8_t {
     Slow,
@@ -36,7 +38,7 @@
 
 constexpr const char *kDriftNames[] = {"slow drift", "sudden shift", "flipping expert", "noise, no drift"};
 
-/** Seeded popularity of one layer's experts over time. */
+/** Random popularity of the experts of one layer over time, reproducible by seed. */
 class Popularity
 {
 public:
@@ -45,13 +47,13 @@
         , m_random(seed)
     {
         for (unsigned i = 0; i < kExperts; ++i) {
-            m_base.push_back(kSpread * m_normal(m_random));
+            m_base.push_back(kPopularitySpread * m_normal(m_random));
             m_phase.push_back(6.283 * m_uniform(m_random));
             m_period.push_back(150 + 250 * m_uniform(m_random));
         }
         m_shifted = m_base;
         for (double &value : m_shifted) {
-            value = m_uniform(m_random) < 0.3 ? kSpread * m_normal(m_random) : value;
+            value = m_uniform(m_random) < 0.3 ? kPopularitySpread * m_normal(m_random) : value;
         }
     }
 
@@ -64,7 +66,7 @@
         const double sum = std::accumulate(load.begin(), load.end(), 0.0);
         for (double &value : load) {
             const double expected = value / sum * kTokensPerInterval;
-            value = std::max(0.0, expected + std::sqrt(expected) * m_normal(m_random)); // counting noise
+            value = std::max(0.0, expected + std::sqrt(expected) * m_normal(m_random)); // sampling noise of the counts
         }
         return load;
     }
@@ -96,7 +98,7 @@
 };
 
 struct Outcome {
-    std::vector<double> skews; ///< slowest over mean rank, all layers, each interval
+    std::vector<double> skews; ///< by interval, ratio of the busiest rank to the mean, averaged over the layers
     double copies = 0;
     double stalledSteps = 0;
     double planMs = 0;
@@ -138,18 +140,18 @@
         ExpertMap planned = planner->plan(inputs, setup.weights);
         outcome.planMs += std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begin).count() / setup.intervals;
         unsigned copies = 0;
-        double stretched = 0;
+        double meanSkew = 0;
         for (unsigned layer = 0; layer < setup.layers; ++layer) {
             copies += copiesBetween(map[layer], planned[layer]);
-            stretched += imbalance(planned[layer], next[layer]) / setup.layers;
+            meanSkew += imbalance(planned[layer], next[layer]) / setup.layers;
             forecasts[layer].observe(next[layer]);
         }
         map = std::move(planned);
         last = std::move(next);
         if (time >= kWarmup) {
-            outcome.skews.push_back(stretched);
+            outcome.skews.push_back(meanSkew);
             outcome.copies += copies;
-            outcome.stalledSteps += copies > 0 ? 1 : 0; // the switching step waits one order's round trip at most
+            outcome.stalledSteps += copies > 0 ? 1 : 0; // the step that switches maps waits for at most one round trip of an order
         }
     }
     return outcome;
@@ -199,12 +201,12 @@
     print("never", "never", base);
     const Row greedy = print("full_greedy", "full_greedy", base);
     const Row swap = print("threshold_swap", "threshold_swap", base);
-    Setup skew = base;
-    skew.weights.skewWeight = 20;
-    const Row tawe = print("priced, Tawe", "priced", skew);
-    Setup cost = base;
-    cost.weights.costWeight = 2;
-    const Row conciliar = print("priced, Conciliar", "priced", cost);
+    Setup skewWeighted = base;
+    skewWeighted.weights.skewWeight = 20;
+    const Row tawe = print("priced, Tawe", "priced", skewWeighted);
+    Setup costWeighted = base;
+    costWeighted.weights.costWeight = 2;
+    const Row conciliar = print("priced, Conciliar", "priced", costWeighted);
     std::cout << std::setprecision(2) << "  Tawe: excess " << (tawe.mean - 1) / (bound.mean - 1) << "x the bound's, " << (tawe.mean - 1) / (swap.mean - 1)
               << "x threshold_swap's. Conciliar: " << conciliar.copies / greedy.copies << "x the bytes of full_greedy, excess "
               << (conciliar.mean - 1) / (greedy.mean - 1) << "x of it\n";
--- a/testing/enginemodel_test.cpp
+++ b/testing/enginemodel_test.cpp
@@ -1,5 +1,5 @@
-// The cost model of a pass against sums by hand, with the figures of an engine as a
-// configuration states them.
+// Checks the cost model of a pass against values calculated by hand, for engine parameters
+// as a configuration states them.
 
 #include "fulmarlink/enginemodel.h"
 
@@ -32,13 +32,13 @@
 
 } // namespace
 
-TEST(EngineModel, APassIsItsStepsAndWhatIsReadMeanwhile)
+TEST(EngineModel, PassDurationIncludesStepsContextAndPromptTokens)
 {
     EXPECT_NEAR(ms(passDuration(engine(), {6, 300, 0, 1})), 5 * (4.5 + 6) + 5, 0.01);
     EXPECT_NEAR(ms(passDuration(engine(), {6, 0, 1000, 1})), 5 * (4.5 + 6 * 1.02), 0.01);
 }
 
-TEST(EngineModel, ImbalanceStretchesTheExpertsShareOnly)
+TEST(EngineModel, ImbalanceLengthensTheExpertShareOnly)
 {
     const double balanced = ms(passDuration(engine(), {6, 300, 0, 1}));
     const double skewed = ms(passDuration(engine(), {6, 300, 0, 2.5}));
@@ -47,13 +47,13 @@
     EXPECT_NEAR(passDurationRatio(engine(), 2.5, 1.25), (0.2 + 0.8 * 1.25) / (0.2 + 0.8 * 2.5), 1e-9);
 }
 
-TEST(EngineModel, WithoutWritersAPassReadsOnly)
+TEST(EngineModel, PassWithoutDecodingRequestsIsOneStepAndThePromptTokens)
 {
     EXPECT_NEAR(ms(passDuration(engine(), {0, 600, 0, 1})), 4.5 + 10, 0.01);
 }
 
-// What a switch may copy on engines of different sizes: experts of 0.37 to 2.5 GB over 92 Gbit/s.
-TEST(EngineModel, ASwitchCopiesAboutAsLongWhateverTheEngine)
+// Numbers of copies for engines with experts of 0.37 to 2.5 GB and a link of 92 Gbit/s.
+TEST(EngineModel, NumberOfCopiesFitsTheTimeBudgetOfASwitch)
 {
     EngineSpec engine;
     engine.linkMbps = 92'000;
@@ -66,11 +66,11 @@
     EXPECT_EQ(copies(420, 260), 7U);
     EXPECT_EQ(copies(370, 260), 8U);
     for (const double expertMb : {370.0, 420.0, 1700.0, 2500.0}) {
-        EXPECT_EQ(copies(expertMb, 30), 1U) << "the first switch after a turn";
+        EXPECT_EQ(copies(expertMb, 30), 1U) << "first switch after a demand shift";
     }
     engine.expertMb = 1700;
     EXPECT_NEAR(std::chrono::duration<double>(copyDuration(engine, 2)).count(), 0.305, 0.002);
-    engine.linkMbps = 0; // not said
+    engine.linkMbps = 0; // unknown
     EXPECT_EQ(copiesWithin(engine, std::chrono::milliseconds(260)), 1U);
 }
 
--- a/testing/expertplanner_test.cpp
+++ b/testing/expertplanner_test.cpp
@@ -1,5 +1,5 @@
-// Maps for what is in demand. Load pattern: a few experts take much of the tokens, and
-// others do from one moment to the next, as the counts of played days show.
+// Planning of expert maps for the current load. In recorded expert counts of simulated days
+// a few experts get a large share of the tokens, and which ones these are changes abruptly.
 
 #include "fulmarlink/expertplanner.h"
 
@@ -19,8 +19,8 @@
 namespace
 {
 
-/** Experts in turn over the ranks. */
-GroupMap inTurn(unsigned sets, unsigned ranks, unsigned experts)
+/** Distributes the experts over the ranks in turn, without replicas. */
+GroupMap roundRobinMap(unsigned sets, unsigned ranks, unsigned experts)
 {
     GroupMap map(sets, std::vector<std::vector<ExpertId>>(ranks));
     for (auto &set : map) {
@@ -31,8 +31,8 @@
     return map;
 }
 
-/** Demand that falls with the rank in a random order, as a power law. */
-std::vector<std::vector<double>> powerLaw(unsigned sets, unsigned experts, double skew, std::uint64_t seed)
+/** Loads by a power law, in random order of the experts. */
+std::vector<std::vector<double>> powerLawLoad(unsigned sets, unsigned experts, double skew, std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
     std::vector<std::vector<double>> load(sets, std::vector<double>(experts));
@@ -47,14 +47,14 @@
     return load;
 }
 
-ExpertPlanOptions smallGroup()
+ExpertPlanOptions smallGroupOptions()
 {
     return {.maxExpertsPerRank = 5, .maxNewPerSet = 2, .maxNewPerRank = 3};
 }
 
 } // namespace
 
-TEST(ExpertPlanner, KeepsEveryExpertAndEveryLimit)
+TEST(ExpertPlanner, PlansKeepEveryExpertAndRespectTheLimits)
 {
     rc::check([] {
         const unsigned ranks = *rc::gen::inRange(2U, 9U);
@@ -64,14 +64,14 @@
         options.maxExpertsPerRank = perRank + *rc::gen::inRange(0U, 3U);
         options.maxNewPerSet = *rc::gen::inRange(1U, 3U);
         options.maxNewPerRank = *rc::gen::inRange(1U, 6U);
-        GroupMap map = inTurn(2, ranks, experts);
+        GroupMap map = roundRobinMap(2, ranks, experts);
         for (int round = 0; round < 3; ++round) {
-            const auto load = powerLaw(2, experts, 1.1, *rc::gen::arbitrary<std::uint64_t>());
+            const auto load = powerLawLoad(2, experts, 1.1, *rc::gen::arbitrary<std::uint64_t>());
             const ExpertPlan plan = planExperts(map, load, options);
             RC_ASSERT(plan.imbalanceAfter <= plan.imbalanceBefore + 1e-9);
             std::vector<unsigned> copies(ranks, 0);
             for (std::size_t set = 0; set < map.size(); ++set) {
-                std::set<ExpertId> there;
+                std::set<ExpertId> placed;
                 for (std::size_t rank = 0; rank < ranks; ++rank) {
                     const auto &held = plan.map[set][rank];
                     const std::set<ExpertId> own(held.begin(), held.end());
@@ -83,9 +83,9 @@
                     }
                     RC_ASSERT(added <= options.maxNewPerSet);
                     copies[rank] += added;
-                    there.insert(held.begin(), held.end());
+                    placed.insert(held.begin(), held.end());
                 }
-                RC_ASSERT(there.size() == experts);
+                RC_ASSERT(placed.size() == experts);
             }
             RC_ASSERT(*std::ranges::max_element(copies) <= options.maxNewPerRank);
             RC_ASSERT(plan.maxRankCopies == *std::ranges::max_element(copies));
@@ -94,11 +94,11 @@
     });
 }
 
-TEST(ExpertPlanner, OneSwitchTakesTheSkewOutOfATurnOfDemand)
+TEST(ExpertPlanner, OnePlanRemovesMostImbalanceAfterADemandShift)
 {
-    GroupMap map = inTurn(4, 16, 64);
+    GroupMap map = roundRobinMap(4, 16, 64);
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        const ExpertPlan plan = planExperts(map, powerLaw(4, 64, 1.1, seed), smallGroup());
+        const ExpertPlan plan = planExperts(map, powerLawLoad(4, 64, 1.1, seed), smallGroupOptions());
         EXPECT_GT(plan.imbalanceBefore, 1.8) << seed;
         EXPECT_LT(plan.imbalanceAfter, 1.25) << seed;
         EXPECT_LE(plan.maxRankCopies, 3U);
@@ -106,23 +106,23 @@
     }
 }
 
-TEST(ExpertPlanner, ALargeGroupToo)
+TEST(ExpertPlanner, BalancesAGroupOf72Ranks)
 {
     const ExpertPlanOptions options{.maxExpertsPerRank = 3, .maxNewPerSet = 2, .maxNewPerRank = 24};
-    const ExpertPlan plan = planExperts(inTurn(12, 72, 144), powerLaw(12, 144, 0.53, 3), options); // what a played day of 72 ranks shows
+    const ExpertPlan plan = planExperts(roundRobinMap(12, 72, 144), powerLawLoad(12, 144, 0.53, 3), options); // the skew of a simulated day with 72 ranks
     EXPECT_GT(plan.imbalanceBefore, 2);
     EXPECT_LT(plan.imbalanceAfter, 1.3);
 }
 
-TEST(ExpertPlanner, BalancedDemandMovesNothing)
+TEST(ExpertPlanner, BalancedLoadNeedsNoCopies)
 {
     const std::vector<std::vector<double>> even(4, std::vector<double>(64, 1000));
-    const ExpertPlan plan = planExperts(inTurn(4, 16, 64), even, smallGroup());
+    const ExpertPlan plan = planExperts(roundRobinMap(4, 16, 64), even, smallGroupOptions());
     EXPECT_EQ(plan.copies, 0U);
     EXPECT_DOUBLE_EQ(plan.imbalanceAfter, 1);
 }
 
-TEST(ExpertLoad, OnlyTheDifferenceOfTwoReadsOfOneEpochCounts)
+TEST(ExpertLoad, CountsDifferencesBetweenReadsOfOneEpochOnly)
 {
     ExpertLoad load;
     ExpertCountsRead read;
@@ -133,7 +133,7 @@
     read.counts = {{130, 50}};
     load.add("a", read);
     EXPECT_EQ(load.pendingChoices(), 30);
-    read.epoch = 2; // the group has formed again
+    read.epoch = 2; // the group was re-formed
     read.counts = {{5, 5}};
     load.add("a", read);
     EXPECT_EQ(load.pendingChoices(), 30);
@@ -141,8 +141,8 @@
     EXPECT_EQ(load.pendingChoices(), 0);
 }
 
-// The load: one rank of a group works at a twelfth of its speed, and all wait for it.
-TEST(ExpertPlanner, ASlowRankIsEmptiedInFewSwitches)
+// One rank of a group runs at a twelfth of its speed and delays every pass of the group.
+TEST(ExpertPlanner, ASlowRankKeepsAtMostOneExpertPerSetAfterThreeSwitches)
 {
     constexpr unsigned kRanks = 16;
     constexpr unsigned kSlow = 3;
@@ -152,8 +152,8 @@
             set[(place + place / 64) % kRanks].push_back(static_cast<ExpertId>(place % 64));
         }
     }
-    const auto load = powerLaw(4, 64, 0.3, 7);
-    ExpertPlanOptions options = smallGroup();
+    const auto load = powerLawLoad(4, 64, 0.3, 7);
+    ExpertPlanOptions options = smallGroupOptions();
     options.slowdowns.assign(kRanks, 1);
     options.slowdowns[kSlow] = 12;
     double before = 0;
@@ -176,7 +176,7 @@
     }
 }
 
-TEST(ExpertPlanner, ImbalanceCountsARanksPace)
+TEST(ExpertPlanner, ImbalanceIncludesTheSlowdownOfARank)
 {
     const std::vector<std::vector<ExpertId>> ranks{{0}, {1}};
     const std::vector<double> load{1, 1};
