--- a/fulmarlink/expertplanner.h
+++ b/fulmarlink/expertplanner.h
@@ -11,7 +11,7 @@
 struct ExpertPlanOptions {
     unsigned maxExpertsPerRank = 0; ///< experts of one set that a rank may hold
     unsigned maxNewPerSet = 0; ///< experts of one set that a rank may copy in one switch
-    unsigned maxNewPerRank = 8; ///< experts of all sets that a rank may copy; copies are sequential and the switch waits for the last rank
+    unsigned maxNewPerRank = 8; ///< experts of all sets that a rank may copy; copies are sequential and the switch waits for the slowest rank
     /**
      * Minimum reduction of the busiest rank's load by a change, as a share of that rank's excess over the mean, or of the mean if that is larger.
      * Smaller changes cost more copying than they save.
--- a/fulmarlink/layersearch.h
+++ b/fulmarlink/layersearch.h
@@ -9,7 +9,7 @@
 {
 
 /**
- * Local search on one layer: finds the change that lowers the load of the busiest rank most.
+ * Local search on one layer: finds the change that lowers the highest rank load most.
  *
  * A change either swaps two slots between ranks (two copies to load) or overwrites a slot of a replicated expert with a replica of
  * an expert on the busiest rank (one copy). Invariant: rank loads and replica counts agree with the map.
