--- a/fulmarlink/expertmapcontroller.cpp
+++ b/fulmarlink/expertmapcontroller.cpp
@@ -327,7 +327,7 @@
     m_switch.begin(static_cast<unsigned>(m_ranks.size()), m_mapEpoch, version, plan.map);
     m_mapKnown = false;
     co_await driveSwitch(copyTime, false);
-    const bool done = m_switch.phase() == SwitchPhase::Idle && m_switch.done() > 0;
+    const bool done = m_switch.phase() == SwitchPhase::Idle && m_switch.completedRanks() > 0;
     m_state.counters.add(done ? m_switchesDone : m_switchesGivenUp);
     m_state.counters.add(m_copies, plan.copies);
     logChange("map-switch",
--- a/fulmarlink/expertmapcontrollercalls.cpp
+++ b/fulmarlink/expertmapcontrollercalls.cpp
@@ -98,7 +98,7 @@
     m_unreachableRanks = static_cast<unsigned>(std::ranges::count_if(calls->reports, [](const RankReportRead &read) {
         return static_cast<bool>(read.error);
     }));
-    if (group == nullptr || !group->whole()) {
+    if (group == nullptr || !group->isComplete()) {
         logChange("reports-incomplete",
                   {{"pool", m_pool},
                    {"group", m_group},
@@ -232,7 +232,7 @@
     const SwitchPhase phase = m_switch.phase();
     for (const auto &[rank, result] : calls->results) {
         if (m_switch.phase() == phase) {
-            m_switch.result(rank, result);
+            m_switch.recordResult(rank, result);
         }
     }
     co_return accepted;
@@ -349,7 +349,7 @@
             continue;
         }
         const SwitchPhase phase = m_switch.phase();
-        const bool accepted = co_await sendOrders(m_switch.orders());
+        const bool accepted = co_await sendOrders(m_switch.pendingOrders());
         if (phase == SwitchPhase::Prepare) {
             copiesBegan = m_state.clock.now(); // latest start of the last rank's copy
         }
--- a/fulmarlink/expertmapcontrollerpace.cpp
+++ b/fulmarlink/expertmapcontrollerpace.cpp
@@ -67,13 +67,13 @@
     std::vector<std::string> slow;
     std::string text;
     for (unsigned rank = 0; rank < m_reports.size(); ++rank) {
-        const bool isSlow = m_reports[rank].pace >= kSlowRankThreshold;
-        slowdowns.push_back(isSlow ? m_reports[rank].pace : 1);
+        const bool isSlow = m_reports[rank].slowdown >= kSlowRankThreshold;
+        slowdowns.push_back(isSlow ? m_reports[rank].slowdown : 1);
         if (!isSlow) {
             continue;
         }
         slow.push_back(m_ranks[rank].id);
-        text += (text.empty() ? "" : ",") + m_ranks[rank].id + ':' + twoDecimals(m_reports[rank].pace);
+        text += (text.empty() ? "" : ",") + m_ranks[rank].id + ':' + twoDecimals(m_reports[rank].slowdown);
     }
     const bool any = !slow.empty() || std::ranges::any_of(m_slowdowns, [](double pace) {
         return pace > 1;
--- a/fulmarlink/groupswitch.cpp
+++ b/fulmarlink/groupswitch.cpp
@@ -32,7 +32,7 @@
         return "hold";
     case SwitchPhase::Arm:
         return "arm";
-    case SwitchPhase::Go:
+    case SwitchPhase::Release:
         return "go";
     }
     return "";
@@ -90,7 +90,7 @@
     if (!isHeld) {
         enter(SwitchPhase::Hold); // the pass must not begin before every rank is armed
     } else {
-        enter(prepared ? SwitchPhase::Arm : SwitchPhase::Go);
+        enter(prepared ? SwitchPhase::Arm : SwitchPhase::Release);
     }
     observe(reports);
     return m_phase != SwitchPhase::Idle;
@@ -120,7 +120,7 @@
 
 bool GroupSwitch::takesPart(unsigned rank) const
 {
-    return (m_phase != SwitchPhase::Hold && m_phase != SwitchPhase::Go) || rank == m_holder;
+    return (m_phase != SwitchPhase::Hold && m_phase != SwitchPhase::Release) || rank == m_holder;
 }
 
 RankOrder GroupSwitch::orderFor() const
@@ -142,14 +142,14 @@
     case SwitchPhase::Arm:
         order.kind = RankOrderKind::Arm;
         break;
-    case SwitchPhase::Go:
-        order.kind = RankOrderKind::Go;
+    case SwitchPhase::Release:
+        order.kind = RankOrderKind::Release;
         break;
     }
     return order;
 }
 
-std::vector<AddressedOrder> GroupSwitch::orders() const
+std::vector<AddressedOrder> GroupSwitch::pendingOrders() const
 {
     std::vector<AddressedOrder> result;
     if (m_phase == SwitchPhase::Idle || m_needsPass) {
@@ -166,7 +166,7 @@
     return result;
 }
 
-void GroupSwitch::result(unsigned rank, OrderResult result)
+void GroupSwitch::recordResult(unsigned rank, OrderResult result)
 {
     Rank &state = m_ranks[rank];
     switch (result) {
@@ -183,7 +183,7 @@
             return;
         }
         m_needsPass = m_phase == SwitchPhase::Hold;
-        state.stuck = m_phase != SwitchPhase::Arm || ++state.refusals >= kArmRefusals;
+        state.stuck = m_phase != SwitchPhase::Arm || ++state.refusals >= kMaxArmRefusals;
         break;
     }
     advance();
@@ -206,7 +206,7 @@
     case SwitchPhase::Arm:
         rank.done = (report.armed == m_version && report.armedPass == m_pass) || report.map == m_version;
         break;
-    case SwitchPhase::Go:
+    case SwitchPhase::Release:
         rank.done = !report.heldPass;
         break;
     }
@@ -243,7 +243,7 @@
 bool GroupSwitch::allDone() const
 {
     if (m_phase == SwitchPhase::Arm && mutated(Mutation::GoUnarmed)) {
-        return done() > 0;
+        return completedRanks() > 0;
     }
     for (unsigned rank = 0; rank < m_ranks.size(); ++rank) {
         if (takesPart(rank) && !m_ranks[rank].done) {
@@ -268,9 +268,9 @@
         enter(SwitchPhase::Arm);
         break;
     case SwitchPhase::Arm:
-        enter(SwitchPhase::Go);
+        enter(SwitchPhase::Release);
         break;
-    case SwitchPhase::Go:
+    case SwitchPhase::Release:
         m_phase = SwitchPhase::Idle;
         break;
     }
@@ -283,7 +283,7 @@
 
 bool GroupSwitch::needsReports() const
 {
-    return m_phase != SwitchPhase::Idle && !m_needsPass && orders().empty();
+    return m_phase != SwitchPhase::Idle && !m_needsPass && pendingOrders().empty();
 }
 
 void GroupSwitch::assumePrepared()
@@ -309,7 +309,7 @@
     return m_pass;
 }
 
-unsigned GroupSwitch::done() const
+unsigned GroupSwitch::completedRanks() const
 {
     return static_cast<unsigned>(std::ranges::count_if(m_ranks, &Rank::done));
 }
--- a/fulmarlink/groupswitch.h
+++ b/fulmarlink/groupswitch.h
@@ -15,7 +15,7 @@
     Prepare, ///< every rank copies the new map's experts
     Hold, ///< one rank holds a pass back
     Arm, ///< every rank is told to switch as that pass begins
-    Go, ///< the pass is let go
+    Release, ///< the pass is let go
 };
 
 std::string_view switchPhaseName(SwitchPhase phase);
@@ -52,7 +52,7 @@
      * Arm orders that a rank may refuse before its report is read. They are sent again each 15 ms while the pass is held, so this is the age of a
      * report: a copy that is later than that is not on its way.
      */
-    static constexpr unsigned kArmRefusals = 18;
+    static constexpr unsigned kMaxArmRefusals = 18;
 
     /** Begins a switch of a group whose ranks all use one map, with nothing armed or held. @p version is higher than any before. */
     void begin(unsigned ranks, std::uint64_t epoch, std::uint64_t version, GroupMap map);
@@ -69,8 +69,8 @@
     /** A pass to hold at, once every rank has prepared; @p pass has not begun. */
     void holdAt(std::uint64_t pass);
 
-    std::vector<AddressedOrder> orders() const;
-    void result(unsigned rank, OrderResult result);
+    std::vector<AddressedOrder> pendingOrders() const;
+    void recordResult(unsigned rank, OrderResult result);
     /** Reports of all ranks in rank order. */
     void observe(const std::vector<RankReport> &reports);
 
@@ -82,7 +82,7 @@
     std::uint64_t version() const;
     std::uint64_t pass() const;
     /** Ranks whose part of the phase is done. */
-    unsigned done() const;
+    unsigned completedRanks() const;
 
 private:
     struct Rank {
--- a/fulmarlink/rankgroups.cpp
+++ b/fulmarlink/rankgroups.cpp
@@ -11,11 +11,11 @@
 namespace
 {
 
-constexpr unsigned kMostRanks = 4096; ///< a larger claim is not believed, so that a wrong report can't make a loop long
+constexpr unsigned kMaxRanks = 4096; ///< a larger claim is not believed, so that a wrong report can't make a loop long
 
 GroupDefect defectOf(const RankGroup &group, std::span<const RankReportRead> reports)
 {
-    if (group.size == 0 || group.size > kMostRanks) {
+    if (group.size == 0 || group.size > kMaxRanks) {
         return GroupDefect::SizeUnknown;
     }
     unsigned expected = 0;
@@ -28,7 +28,7 @@
             return GroupDefect::SizeUnknown;
         }
         if (report.rank < expected) {
-            return GroupDefect::RankTwice;
+            return GroupDefect::RankDuplicated;
         }
         if (report.rank > expected) {
             return GroupDefect::RankMissing;
@@ -49,7 +49,7 @@
         return "size-unknown";
     case GroupDefect::RankMissing:
         return "rank-missing";
-    case GroupDefect::RankTwice:
+    case GroupDefect::RankDuplicated:
         return "rank-twice";
     case GroupDefect::EpochsDiffer:
         return "epochs-differ";
@@ -57,7 +57,7 @@
     return "";
 }
 
-bool RankGroup::whole() const
+bool RankGroup::isComplete() const
 {
     return defect == GroupDefect::None;
 }
--- a/fulmarlink/rankgroups.h
+++ b/fulmarlink/rankgroups.h
@@ -16,7 +16,7 @@
     None,
     SizeUnknown, ///< no member says how many ranks there are, or members disagree
     RankMissing, ///< nobody reports some rank of the newest epoch
-    RankTwice, ///< two runners claim one rank of the newest epoch
+    RankDuplicated, ///< two runners claim one rank of the newest epoch
     EpochsDiffer, ///< a member still reports an earlier epoch
 };
 
@@ -30,7 +30,7 @@
     std::vector<unsigned> members; ///< indices of its reports, by rank, then as given
     GroupDefect defect = GroupDefect::None;
 
-    bool whole() const;
+    bool isComplete() const;
 };
 
 /**
--- a/fulmarlink/rankorders.h
+++ b/fulmarlink/rankorders.h
@@ -28,7 +28,7 @@
     std::uint64_t armed = 0; ///< version that it will switch to; 0: none
     std::uint64_t armedPass = 0;
     std::optional<std::uint64_t> heldPass; ///< the pass that it holds back
-    double pace = 1; ///< over 1: the engine is slower than its cost model says
+    double slowdown = 1; ///< over 1: the engine is slower than its cost model says
     unsigned running = 0;
     unsigned waiting = 0;
     std::string raw; ///< for the log, when something in it could not be understood
@@ -59,7 +59,7 @@
     Prepare, ///< copy the experts of a new map
     Arm, ///< switch to a prepared map as a pass begins
     Hold, ///< the group does not begin a pass until it is told to go on
-    Go,
+    Release,
 };
 
 struct RankOrder {
--- a/testing/admission_test.cpp
+++ b/testing/admission_test.cpp
@@ -15,18 +15,18 @@
 TEST(Admission, GroupsWellBelowIntervalTargetShareRequestsEqually)
 {
     TwoGroups groups;
-    groups.pace("north", 60ms);
-    groups.pace("south", 80ms); // both are far below the target of 120 ms
-    EXPECT_EQ(groups.share("north", 16), 8U);
+    groups.recordIntervals("north", 60ms);
+    groups.recordIntervals("south", 80ms); // both are far below the target of 120 ms
+    EXPECT_EQ(groups.countAdmitted("north", 16), 8U);
 }
 
 // A rank whose steps take twelve times as long as usual makes its whole group late.
 TEST(Admission, SlowGroupReceivesProportionallyFewerRequests)
 {
     TwoGroups groups;
-    groups.pace("north", 252ms); // three times the pace floor of 84 ms, which applies to the other group
-    groups.pace("south", 60ms);
-    const unsigned slow = groups.share("north", 12);
+    groups.recordIntervals("north", 252ms); // three times the pace floor of 84 ms, which applies to the other group
+    groups.recordIntervals("south", 60ms);
+    const unsigned slow = groups.countAdmitted("north", 12);
     EXPECT_GE(slow, 2U);
     EXPECT_LE(slow, 4U);
 }
@@ -35,23 +35,23 @@
 TEST(Admission, GroupWithoutProgressReceivesNothingWhileAnotherProgresses)
 {
     TwoGroups groups;
-    groups.pace("north", 60ms);
-    groups.pace("south", 60ms);
-    groups.open("n0");
-    groups.open("s0");
+    groups.recordIntervals("north", 60ms);
+    groups.recordIntervals("south", 60ms);
+    groups.addOpenRequest("n0");
+    groups.addOpenRequest("s0");
     groups.clock.time += 800ms;
-    groups.pace("south", 60ms);
-    EXPECT_EQ(groups.share("north", 6), 0U);
-    groups.pace("north", 60ms);
-    EXPECT_GT(groups.share("north", 6), 0U);
+    groups.recordIntervals("south", 60ms);
+    EXPECT_EQ(groups.countAdmitted("north", 6), 0U);
+    groups.recordIntervals("north", 60ms);
+    EXPECT_GT(groups.countAdmitted("north", 6), 0U);
 }
 
 TEST(Admission, IdleTimeDoesNotCountAsLackOfProgress)
 {
     TwoGroups groups;
-    groups.pace("north", 60ms);
+    groups.recordIntervals("north", 60ms);
     groups.clock.time += 20s;
-    groups.open("n0");
+    groups.addOpenRequest("n0");
     groups.clock.time += 100ms;
     EXPECT_FALSE(groups.state.standsStill("p", "north", groups.clock.now()));
 }
@@ -62,9 +62,9 @@
     for (unsigned i = 0; i < PoolGate::kRefusalsToStall; ++i) {
         groups.state.pool("p").gate("north").recordRefusal(groups.clock.now());
     }
-    EXPECT_EQ(groups.share("north", 4), 0U);
+    EXPECT_EQ(groups.countAdmitted("north", 4), 0U);
     groups.clock.time += PoolGate::kProbeInterval + 10ms;
-    EXPECT_EQ(groups.share("north", 4), 1U) << "a single probe tests whether the group has recovered";
+    EXPECT_EQ(groups.countAdmitted("north", 4), 1U) << "a single probe tests whether the group has recovered";
 }
 
 TEST(Admission, ReturnsShortestRetryAfterIfAllGroupsRefuse)
@@ -78,7 +78,7 @@
     double both = 0;
     double one = 0;
     for (unsigned i = 0; i < 200; ++i) {
-        const Admission admission = groups.ask();
+        const Admission admission = groups.admit();
         ASSERT_FALSE(admission.target);
         EXPECT_EQ(admission.decision.refusal, ResultCode::PoolStalled);
         both += std::chrono::duration<double>(admission.decision.retryAfter).count();
@@ -91,7 +91,7 @@
 TEST(Admission, ReportsEmptyPoolIfNoRunnerIsLeft)
 {
     TwoGroups groups;
-    const Admission admission = groups.ask({"n0", "n1", "s0", "s1"});
+    const Admission admission = groups.admit({"n0", "n1", "s0", "s1"});
     EXPECT_FALSE(admission.target);
     EXPECT_EQ(admission.decision.refusal, ResultCode::EmptyPool);
 }
--- a/testing/expertmapcontroller_test.cpp
+++ b/testing/expertmapcontroller_test.cpp
@@ -33,7 +33,7 @@
         settings.host = "entry";
         state = std::make_unique<GatewayState>(settings, clock, counters, protocol);
         group = std::make_unique<FakeGroup>(context, options);
-        group->turn(kEven);
+        group->setDemand(kEven);
         Configuration configuration;
         configuration.version = 1;
         ServiceSpec service;
@@ -110,7 +110,7 @@
 {
     start({});
     context.run_for(1500ms);
-    group->turn(kOneHot);
+    group->setDemand(kOneHot);
     const double before = group->imbalance();
     EXPECT_TRUE(runUntil(
         [this] {
@@ -118,7 +118,7 @@
         },
         10s));
     EXPECT_GT(before, 1.9);
-    EXPECT_FALSE(group->twoMaps);
+    EXPECT_FALSE(group->usedMixedMaps);
 }
 
 // GroupWatch destroys a controller that has ended, so nothing that it started may still use it.
@@ -147,37 +147,37 @@
 {
     start({});
     context.run_for(1500ms);
-    group->countsRead = 0;
-    group->turn(kOneHot);
+    group->countReads = 0;
+    group->setDemand(kOneHot);
     ASSERT_TRUE(runUntil(
         [this] {
             return group->switches > 0;
         },
         10s));
-    EXPECT_LE(group->countsRead, 3 * settings.sampledRanks);
-    EXPECT_FALSE(group->twoMaps);
+    EXPECT_LE(group->countReads, 3 * settings.sampledRanks);
+    EXPECT_FALSE(group->usedMixedMaps);
 }
 
 TEST_F(ExpertMapControllerTest, LateCopyHoldsTheGroupOnlyUntilItCompletes)
 {
     FakeGroupOptions options;
-    options.lateCopy = 100ms;
+    options.lastRankCopyDelay = 100ms;
     start(options);
     context.run_for(1500ms);
-    group->turn(kOneHot);
+    group->setDemand(kOneHot);
     EXPECT_TRUE(runUntil(
         [this] {
             return group->switches > 0;
         },
         10s));
-    EXPECT_FALSE(group->twoMaps);
-    EXPECT_EQ(group->reportsWhileHeld, 0U) << "reports are 0.28 s old, so the group would be held for that long";
+    EXPECT_FALSE(group->usedMixedMaps);
+    EXPECT_EQ(group->reportReadsWhileHeld, 0U) << "reports are 0.28 s old, so the group would be held for that long";
 }
 
 TEST_F(ExpertMapControllerTest, LeaseIsKeptWhileTheGroupIsStarting)
 {
     FakeGroupOptions options;
-    options.listed = 2;
+    options.listedRanks = 2;
     start(options);
     ASSERT_TRUE(runUntil(
         [this] {
@@ -198,9 +198,9 @@
             return group->lease.renewals >= 2;
         },
         5s));
-    group->storeSilent = true;
+    group->leaseWritesTimeOut = true;
     context.run_for(900ms); // a renewal is in flight by now
-    group->turn(kOneHot);
+    group->setDemand(kOneHot);
     EXPECT_TRUE(runUntil(
         [this] {
             return group->switches > 0;
@@ -232,7 +232,7 @@
 {
     start({});
     context.run_for(1500ms);
-    group->slow(2, 8);
+    group->setSlowdown(2, 8);
     const double before = group->imbalance();
     EXPECT_TRUE(runUntil(
         [this] {
@@ -241,12 +241,12 @@
         15s))
         << group->imbalance();
     EXPECT_GT(before, 6);
-    EXPECT_FALSE(group->twoMaps);
+    EXPECT_FALSE(group->usedMixedMaps);
     Random random(1);
     const TargetInfo *picked = state->targets.pick("model", {"rank-0", "rank-1"}, clock.now(), random);
     ASSERT_NE(picked, nullptr);
     EXPECT_EQ(picked->id, "rank-3");
-    group->slow(2, 1);
+    group->setSlowdown(2, 1);
     EXPECT_TRUE(runUntil(
         [this] {
             return group->lease.slowTargets.empty();
@@ -259,14 +259,14 @@
 {
     start({});
     context.run_for(1500ms);
-    group->slow(1, 40);
+    group->setSlowdown(1, 40);
     EXPECT_TRUE(runUntil(
         [this] {
             return group->imbalance() < 5;
         },
         10s))
         << group->imbalance();
-    EXPECT_FALSE(group->twoMaps);
+    EXPECT_FALSE(group->usedMixedMaps);
 }
 
 } // namespace fulmarlink::testing
--- a/testing/gatewaymutation_test.cpp
+++ b/testing/gatewaymutation_test.cpp
@@ -184,18 +184,18 @@
 bool slowGroupsGetLess()
 {
     TwoGroups groups;
-    groups.pace("north", std::chrono::milliseconds(252));
-    groups.pace("south", std::chrono::milliseconds(60));
-    return groups.share("north", 12) <= 4;
+    groups.recordIntervals("north", std::chrono::milliseconds(252));
+    groups.recordIntervals("south", std::chrono::milliseconds(60));
+    return groups.countAdmitted("north", 12) <= 4;
 }
 
 bool stillGroupsGetNothing()
 {
     TwoGroups groups;
-    groups.open("n0");
+    groups.addOpenRequest("n0");
     groups.clock.time += std::chrono::seconds(1);
-    groups.open("s0");
-    return groups.share("north", 4) == 0;
+    groups.addOpenRequest("s0");
+    return groups.countAdmitted("north", 4) == 0;
 }
 
 bool countsOfTwoStartsAreApart()
@@ -220,7 +220,7 @@
         reports[i].report.size = 2;
         reports[i].report.epoch = i + 1;
     }
-    return !formGroups(reports).front().whole();
+    return !formGroups(reports).front().isComplete();
 }
 
 CrashHistory afterCrashes(unsigned crashes)
--- a/testing/groupswitch_test.cpp
+++ b/testing/groupswitch_test.cpp
@@ -4,8 +4,8 @@
 #include <cstdlib>
 #include <gtest/gtest.h>
 
-#include "testing/harness/groupworld.h"
 #include "testing/harness/mutation_on.h"
+#include "testing/harness/rankgroupsimulation.h"
 
 namespace fulmarlink::testing
 {
@@ -19,9 +19,9 @@
     return text == nullptr ? 6000 : std::strtoull(text, nullptr, 10);
 }
 
-GroupWorldOptions options(std::uint64_t seed)
+RankGroupSimulationOptions options(std::uint64_t seed)
 {
-    GroupWorldOptions result;
+    RankGroupSimulationOptions result;
     result.seed = seed;
     result.ranks = 2 + seed % 3;
     return result;
@@ -37,7 +37,7 @@
 {
     std::uint64_t switches = 0;
     for (std::uint64_t seed = 1; seed <= plays(); ++seed) {
-        GroupWorld world(options(seed));
+        RankGroupSimulation world(options(seed));
         ASSERT_EQ(world.run(), "") << "seed " << seed;
         switches += world.switches();
     }
@@ -48,7 +48,7 @@
 {
     const ScopedMutation mutation(GetParam());
     for (std::uint64_t seed = 1; seed <= 6000; ++seed) {
-        GroupWorld world(options(seed));
+        RankGroupSimulation world(options(seed));
         if (!world.run().empty()) {
             return;
         }
@@ -63,22 +63,22 @@
     GroupSwitch change;
     change.begin(4, 1, 7, {});
     for (unsigned rank = 0; rank < 4; ++rank) {
-        change.result(rank, OrderResult::Accepted);
+        change.recordResult(rank, OrderResult::Accepted);
     }
     EXPECT_TRUE(change.needsReports());
     change.assumePrepared();
     ASSERT_EQ(change.phase(), SwitchPhase::Hold);
     EXPECT_TRUE(change.needsPass());
     change.holdAt(40);
-    ASSERT_EQ(change.orders().size(), 1U);
-    change.result(0, OrderResult::Accepted);
-    ASSERT_EQ(change.orders().size(), 4U);
+    ASSERT_EQ(change.pendingOrders().size(), 1U);
+    change.recordResult(0, OrderResult::Accepted);
+    ASSERT_EQ(change.pendingOrders().size(), 4U);
     for (unsigned rank = 0; rank < 4; ++rank) {
         EXPECT_EQ(change.phase(), SwitchPhase::Arm);
-        change.result(rank, OrderResult::Accepted);
+        change.recordResult(rank, OrderResult::Accepted);
     }
-    ASSERT_EQ(change.phase(), SwitchPhase::Go);
-    change.result(0, OrderResult::Accepted);
+    ASSERT_EQ(change.phase(), SwitchPhase::Release);
+    change.recordResult(0, OrderResult::Accepted);
     EXPECT_EQ(change.phase(), SwitchPhase::Idle);
 }
 
--- a/testing/harness/fakegroup.cpp
+++ b/testing/harness/fakegroup.cpp
@@ -30,7 +30,7 @@
     , m_ranks(options.ranks)
     , m_map(options.ranks)
     , m_demand(options.experts, 1)
-    , m_paces(options.ranks, 1)
+    , m_slowdowns(options.ranks, 1)
 {
     for (Rank &rank : m_ranks) {
         rank.counts.resize(options.experts);
@@ -49,9 +49,9 @@
     return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now());
 }
 
-void FakeGroup::start(std::function<void(Duration)> passEnded)
+void FakeGroup::start(std::function<void(Duration)> onPassEnd)
 {
-    m_passEnded = std::move(passEnded);
+    m_onPassEnd = std::move(onPassEnd);
     asio::co_spawn(m_context, passes(), asio::detached);
 }
 
@@ -60,20 +60,20 @@
     m_stopped = true;
 }
 
-void FakeGroup::turn(std::vector<double> demand)
+void FakeGroup::setDemand(std::vector<double> demand)
 {
     m_demand = std::move(demand);
 }
 
-void FakeGroup::slow(unsigned rank, double pace)
+void FakeGroup::setSlowdown(unsigned rank, double slowdown)
 {
-    m_paces[rank] = pace;
+    m_slowdowns[rank] = slowdown;
 }
 
 std::vector<TargetInfo> FakeGroup::targets() const
 {
     std::vector<TargetInfo> result;
-    for (unsigned rank = 0; rank < m_options.listed; ++rank) {
+    for (unsigned rank = 0; rank < m_options.listedRanks; ++rank) {
         TargetInfo info;
         info.id = "rank-" + std::to_string(rank);
         info.pool = "model";
@@ -85,7 +85,7 @@
 
 double FakeGroup::imbalance() const
 {
-    return setImbalance(m_map, m_demand, m_paces);
+    return setImbalance(m_map, m_demand, m_slowdowns);
 }
 
 void FakeGroup::beginPass()
@@ -95,13 +95,13 @@
         if (rank.armed != 0 && rank.armedPass == m_pass) {
             rank.map = rank.armed;
             rank.armed = 0;
-            m_map = m_next;
+            m_map = m_nextMap;
         }
     }
     switches += m_ranks.front().map != m_ranks.back().map || m_ranks.front().map == 0 ? 0 : 1;
-    twoMaps = twoMaps || std::ranges::any_of(m_ranks, [&](const Rank &rank) {
-                  return rank.map != m_ranks.front().map;
-              });
+    usedMixedMaps = usedMixedMaps || std::ranges::any_of(m_ranks, [&](const Rank &rank) {
+                        return rank.map != m_ranks.front().map;
+                    });
     const double total = std::accumulate(m_demand.begin(), m_demand.end(), 0.0);
     for (Rank &rank : m_ranks) {
         for (unsigned expert = 0; expert < m_options.experts; ++expert) {
@@ -116,14 +116,14 @@
     asio::steady_timer timer(m_context);
     while (!m_stopped) {
         const TimePoint began = now();
-        while (m_held == m_pass + 1) {
+        while (m_heldPass == m_pass + 1) {
             timer.expires_after(std::chrono::milliseconds(1));
             co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         }
         beginPass();
-        timer.expires_after(std::chrono::duration_cast<std::chrono::microseconds>(m_options.calmPass * imbalance()));
+        timer.expires_after(std::chrono::duration_cast<std::chrono::microseconds>(m_options.balancedPassTime * imbalance()));
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-        m_passEnded(now() - began);
+        m_onPassEnd(now() - began);
     }
 }
 
@@ -189,7 +189,7 @@
 
 asio::awaitable<LeaseRead> FakeGroup::writeLease(std::string /*group*/, LeaseRecord record)
 {
-    if (storeSilent) {
+    if (leaseWritesTimeOut) {
         boost::system::error_code ignored; // the timer is not cancelled
         asio::steady_timer timer(m_context, std::chrono::seconds(1));
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
@@ -213,17 +213,17 @@
     read.report.pass = m_pass;
     read.report.map = rank.map;
     read.report.prepared = now() >= rank.preparedAt ? rank.prepared : 0;
-    read.report.pace = m_paces[index];
+    read.report.slowdown = m_slowdowns[index];
     read.report.armed = rank.armed;
     read.report.armedPass = rank.armedPass;
-    read.report.heldPass = index == 0 ? m_held : std::nullopt;
-    reportsWhileHeld += m_held ? 1 : 0;
+    read.report.heldPass = index == 0 ? m_heldPass : std::nullopt;
+    reportReadsWhileHeld += m_heldPass ? 1 : 0;
     co_return read;
 }
 
 asio::awaitable<ExpertCountsRead> FakeGroup::readExpertCounts(TargetInfo target, unsigned /*layerSets*/)
 {
-    ++countsRead;
+    ++countReads;
     ExpertCountsRead read;
     read.epoch = kEpoch;
     read.pass = m_pass;
@@ -247,8 +247,8 @@
     }
     const bool late = rank + 1 == m_options.ranks;
     state.prepared = order.version;
-    state.preparedAt = now() + m_options.copy + (late ? m_options.lateCopy : std::chrono::milliseconds(0));
-    m_next = order.map.front();
+    state.preparedAt = now() + m_options.copyTime + (late ? m_options.lastRankCopyDelay : std::chrono::milliseconds(0));
+    m_nextMap = order.map.front();
     return OrderResult::Accepted;
 }
 
@@ -276,12 +276,12 @@
         break;
     case RankOrderKind::Hold:
         if (order.pass > m_pass) {
-            m_held = order.pass;
+            m_heldPass = order.pass;
             result = OrderResult::Accepted;
         }
         break;
-    case RankOrderKind::Go:
-        m_held.reset();
+    case RankOrderKind::Release:
+        m_heldPass.reset();
         result = OrderResult::Accepted;
         break;
     }
--- a/testing/harness/fakegroup.h
+++ b/testing/harness/fakegroup.h
@@ -14,10 +14,10 @@
     unsigned ranks = 4;
     unsigned experts = 8; ///< of the one set
     unsigned placements = 3;
-    std::chrono::milliseconds calmPass{40}; ///< of a balanced group
-    std::chrono::milliseconds copy{20}; ///< of all experts that are new to a rank
-    std::chrono::milliseconds lateCopy{0}; ///< more than that, on the last rank
-    unsigned listed = 4; ///< ranks that answer; the others have not come up yet
+    std::chrono::milliseconds balancedPassTime{40}; ///< of a balanced group
+    std::chrono::milliseconds copyTime{20}; ///< of all experts that are new to a rank
+    std::chrono::milliseconds lastRankCopyDelay{0}; ///< more than that, on the last rank
+    unsigned listedRanks = 4; ///< ranks that answer; the others have not come up yet
 };
 
 /**
@@ -29,13 +29,13 @@
 public:
     FakeGroup(boost::asio::io_context &context, FakeGroupOptions options);
 
-    /** Passes from now on; @p passEnded is called at the end of each with its length. */
-    void start(std::function<void(Duration)> passEnded);
+    /** Passes from now on; @p onPassEnd is called at the end of each with its length. */
+    void start(std::function<void(Duration)> onPassEnd);
     void stop();
     /** Demand: how often each expert is chosen, in any unit. */
-    void turn(std::vector<double> demand);
-    /** @p rank takes @p pace times as long for everything. */
-    void slow(unsigned rank, double pace);
+    void setDemand(std::vector<double> demand);
+    /** @p rank takes @p slowdown times as long for everything. */
+    void setSlowdown(unsigned rank, double slowdown);
     std::vector<TargetInfo> targets() const;
     /** Busiest rank over mean with the map in use. */
     double imbalance() const;
@@ -61,11 +61,11 @@
     boost::asio::awaitable<OrderResult> order(TargetInfo target, RankOrder order) override;
 
     LeaseRecord lease;
-    bool storeSilent = false; ///< writes of the lease are not answered for a second, and not done
+    bool leaseWritesTimeOut = false; ///< writes of the lease are not answered for a second, and not done
     unsigned switches = 0;
-    unsigned countsRead = 0; ///< times that a rank's counts were read
-    unsigned reportsWhileHeld = 0; ///< reports that were read while a pass was held back
-    bool twoMaps = false; ///< a pass has begun with two maps: never
+    unsigned countReads = 0; ///< times that a rank's counts were read
+    unsigned reportReadsWhileHeld = 0; ///< reports that were read while a pass was held back
+    bool usedMixedMaps = false; ///< a pass has begun with two maps: never
 
 private:
     struct Rank {
@@ -86,14 +86,14 @@
 
     boost::asio::io_context &m_context;
     const FakeGroupOptions m_options;
-    std::function<void(Duration)> m_passEnded;
+    std::function<void(Duration)> m_onPassEnd;
     std::vector<Rank> m_ranks;
     std::vector<std::vector<ExpertId>> m_map; ///< in use, by rank
-    std::vector<std::vector<ExpertId>> m_next; ///< of the newest prepare
+    std::vector<std::vector<ExpertId>> m_nextMap; ///< of the newest prepare
     std::vector<double> m_demand;
-    std::vector<double> m_paces;
+    std::vector<double> m_slowdowns;
     std::uint64_t m_pass = 0;
-    std::optional<std::uint64_t> m_held;
+    std::optional<std::uint64_t> m_heldPass;
     bool m_stopped = false;
 };
 
--- a/testing/harness/groupworld.cpp
+++ b/testing/harness/rankgroupsimulation.cpp
@@ -1,11 +1,11 @@
-#include "testing/harness/groupworld.h"
+#include "testing/harness/rankgroupsimulation.h"
 
 #include <algorithm>
 
 namespace fulmarlink::testing
 {
 
-struct GroupWorld::Rank {
+struct RankGroupSimulation::Rank {
     std::uint64_t map = 0;
     std::uint64_t prepared = 0;
     std::uint64_t highest = 0; ///< version that it has had
@@ -15,12 +15,12 @@
     std::optional<std::uint64_t> held;
 };
 
-struct GroupWorld::LateOrder {
+struct RankGroupSimulation::LateOrder {
     unsigned due = 0;
     AddressedOrder order;
 };
 
-struct GroupWorld::Driver {
+struct RankGroupSimulation::Driver {
     GroupSwitch change;
     std::uint64_t term = 0;
     std::uint64_t versions = 0;
@@ -31,7 +31,7 @@
     bool oneMore = false; ///< it has checked its lease and then was paused: one order still goes out
 };
 
-GroupWorld::GroupWorld(GroupWorldOptions options)
+RankGroupSimulation::RankGroupSimulation(RankGroupSimulationOptions options)
     : m_options(options)
     , m_random(options.seed)
     , m_ranks(options.ranks)
@@ -42,36 +42,36 @@
     remember();
 }
 
-GroupWorld::~GroupWorld() = default;
+RankGroupSimulation::~RankGroupSimulation() = default;
 
-bool GroupWorld::chance(unsigned percent)
+bool RankGroupSimulation::chance(unsigned percent)
 {
     return m_random() % 100 < percent;
 }
 
-unsigned GroupWorld::pick(unsigned bound)
+unsigned RankGroupSimulation::pick(unsigned bound)
 {
     return static_cast<unsigned>(m_random() % bound);
 }
 
-unsigned GroupWorld::switches() const
+unsigned RankGroupSimulation::switches() const
 {
     return m_switches;
 }
 
-unsigned GroupWorld::stalledSteps() const
+unsigned RankGroupSimulation::stalledSteps() const
 {
     return m_stalled;
 }
 
-bool GroupWorld::canBegin() const
+bool RankGroupSimulation::canBegin() const
 {
     return std::ranges::none_of(m_ranks, [&](const Rank &rank) {
         return rank.held == m_pass + 1;
     });
 }
 
-void GroupWorld::beginPass()
+void RankGroupSimulation::beginPass()
 {
     ++m_pass;
     for (Rank &rank : m_ranks) {
@@ -90,7 +90,7 @@
     }
 }
 
-OrderResult GroupWorld::execute(const AddressedOrder &addressed)
+OrderResult RankGroupSimulation::execute(const AddressedOrder &addressed)
 {
     Rank &rank = m_ranks[addressed.rank];
     const RankOrder &order = addressed.order;
@@ -117,7 +117,7 @@
             rank.held = order.pass;
         }
         break;
-    case RankOrderKind::Go:
+    case RankOrderKind::Release:
         fits = rank.held == order.pass;
         if (fits) {
             rank.held.reset();
@@ -127,17 +127,17 @@
     return fits ? OrderResult::Accepted : OrderResult::Refused;
 }
 
-OrderResult GroupWorld::send(const AddressedOrder &order)
+OrderResult RankGroupSimulation::send(const AddressedOrder &order)
 {
-    if (!m_calm && chance(m_options.lateShare)) {
+    if (!m_calm && chance(m_options.delayedPercent)) {
         m_late.push_back({m_step + 1 + pick(120), order});
         return OrderResult::Unknown;
     }
     const OrderResult result = execute(order);
-    return !m_calm && chance(m_options.lostShare) ? OrderResult::Unknown : result;
+    return !m_calm && chance(m_options.lostReplyPercent) ? OrderResult::Unknown : result;
 }
 
-void GroupWorld::remember()
+void RankGroupSimulation::remember()
 {
     std::vector<RankReport> now;
     for (const Rank &rank : m_ranks) {
@@ -156,13 +156,13 @@
         now.push_back(report);
     }
     m_history.push_front(std::move(now));
-    if (m_history.size() > m_options.reportAge + 1) {
+    if (m_history.size() > m_options.maxReportAge + 1) {
         m_history.pop_back();
     }
 }
 
 /** Each rank's report is up to @p age steps old. */
-std::vector<RankReport> GroupWorld::reports(unsigned age)
+std::vector<RankReport> RankGroupSimulation::reports(unsigned age)
 {
     std::vector<RankReport> result;
     for (unsigned rank = 0; rank < m_options.ranks; ++rank) {
@@ -173,7 +173,7 @@
 }
 
 /** One order, one read of reports, or one decision. */
-void GroupWorld::act(Driver &driver)
+void RankGroupSimulation::act(Driver &driver)
 {
     GroupSwitch &change = driver.change;
     if (change.needsPass()) {
@@ -183,7 +183,7 @@
         }
         return;
     }
-    const auto orders = change.orders();
+    const auto orders = change.pendingOrders();
     if (orders.empty()) {
         if (chance(50)) {
             change.assumePrepared();
@@ -194,11 +194,11 @@
     }
     const AddressedOrder &order = orders[pick(static_cast<unsigned>(orders.size()))];
     const SwitchPhase phase = change.phase();
-    change.result(order.rank, send(order));
-    m_switches += phase == SwitchPhase::Go && change.phase() == SwitchPhase::Idle ? 1 : 0;
+    change.recordResult(order.rank, send(order));
+    m_switches += phase == SwitchPhase::Release && change.phase() == SwitchPhase::Idle ? 1 : 0;
 }
 
-void GroupWorld::lead()
+void RankGroupSimulation::lead()
 {
     for (const auto &driver : m_drivers) {
         if (driver->over || m_step < driver->pausedUntil) {
@@ -227,17 +227,17 @@
     }
 }
 
-void GroupWorld::help()
+void RankGroupSimulation::help()
 {
     auto helper = std::make_unique<Driver>();
     helper->owner = false;
-    if (helper->change.recover(reports(m_options.reportAge), false)) {
+    if (helper->change.recover(reports(m_options.maxReportAge), false)) {
         m_drivers.insert(m_drivers.begin(), std::move(helper));
     }
 }
 
 /** A new owner once the last one has been silent for longer than its lease. */
-void GroupWorld::replaceOwner()
+void RankGroupSimulation::replaceOwner()
 {
     if (m_step < m_drivers.back()->acted + m_options.leaseSteps + 10) {
         return;
@@ -248,7 +248,7 @@
     m_drivers.push_back(std::move(next));
 }
 
-void GroupWorld::calmDown()
+void RankGroupSimulation::calmDown()
 {
     m_calm = true;
     for (const LateOrder &late : m_late) {
@@ -273,7 +273,7 @@
     }
 }
 
-std::string GroupWorld::run()
+std::string RankGroupSimulation::run()
 {
     while (m_step < m_options.steps && m_violation.empty()) {
         ++m_step;
--- a/testing/harness/groupworld.h
+++ b/testing/harness/rankgroupsimulation.h
@@ -12,12 +12,12 @@
 namespace fulmarlink::testing
 {
 
-struct GroupWorldOptions {
+struct RankGroupSimulationOptions {
     unsigned ranks = 3;
     unsigned steps = 400;
-    unsigned lateShare = 20; ///< of 100 orders: no answer, carried out later
-    unsigned lostShare = 10; ///< of 100 orders: carried out, no answer
-    unsigned reportAge = 8; ///< steps; each rank's report in a read has an age of its own
+    unsigned delayedPercent = 20; ///< of 100 orders: no answer, carried out later
+    unsigned lostReplyPercent = 10; ///< of 100 orders: carried out, no answer
+    unsigned maxReportAge = 8; ///< steps; each rank's report in a read has an age of its own
     unsigned leaseSteps = 60; ///< an owner that is paused for longer is replaced
     std::uint64_t seed = 1;
 };
@@ -27,11 +27,11 @@
  * replaced, helpers that act on old reports, and orders that are lost or come late, all
  * by chance. The oracle: no pass begins with two maps, and once calm a group goes on.
  */
-class GroupWorld
+class RankGroupSimulation
 {
 public:
-    explicit GroupWorld(GroupWorldOptions options);
-    ~GroupWorld();
+    explicit RankGroupSimulation(RankGroupSimulationOptions options);
+    ~RankGroupSimulation();
 
     /** Plays all steps and the calm after them. Empty if everything held, else what did not. */
     std::string run();
@@ -57,7 +57,7 @@
     void replaceOwner();
     void calmDown();
 
-    GroupWorldOptions m_options;
+    RankGroupSimulationOptions m_options;
     std::mt19937_64 m_random;
     std::vector<Rank> m_ranks;
     std::vector<LateOrder> m_late;
--- a/testing/harness/twogroups.h
+++ b/testing/harness/twogroups.h
@@ -32,33 +32,33 @@
     }
 
     /** The streams of a group show such pauses; 120 ms are on time. */
-    void pace(const std::string &group, std::chrono::milliseconds pause)
+    void recordIntervals(const std::string &group, std::chrono::milliseconds interval)
     {
         PoolGate &gate = state.pool("p").gate(group);
         for (unsigned i = 0; i < PoolGate::kMinIntervals; ++i) {
-            gate.recordEventInterval(pause, std::chrono::milliseconds(120), clock.now());
+            gate.recordEventInterval(interval, std::chrono::milliseconds(120), clock.now());
         }
         gate.recordAnswer(clock.now());
     }
 
     /** A request is open at the runner. */
-    void open(const std::string &id)
+    void addOpenRequest(const std::string &id)
     {
         state.pool("p").gate(state.targets.groupOf(id)).recordWorkStart(clock.now());
         state.targets.requestSent(id);
     }
 
-    Admission ask(const std::set<std::string> &tried = {})
+    Admission admit(const std::set<std::string> &tried = {})
     {
         return admitToPool(state, "p", {.events = 20, .timeLeft = std::chrono::seconds(8)}, tried);
     }
 
     /** Requests of @p count that go to @p group; each stays open. */
-    unsigned share(const std::string &group, unsigned count)
+    unsigned countAdmitted(const std::string &group, unsigned count)
     {
         unsigned sum = 0;
         for (unsigned i = 0; i < count; ++i) {
-            const Admission admission = ask();
+            const Admission admission = admit();
             if (admission.target) {
                 state.targets.requestSent(admission.target->id);
                 sum += admission.group == group ? 1 : 0;
--- a/testing/rankgroups_test.cpp
+++ b/testing/rankgroups_test.cpp
@@ -54,8 +54,8 @@
         std::ranges::shuffle(reports, random);
         const auto groups = formGroups(reports);
         ASSERT_EQ(groups.size(), 2U);
-        EXPECT_TRUE(groups[0].whole());
-        EXPECT_TRUE(groups[1].whole());
+        EXPECT_TRUE(groups[0].isComplete());
+        EXPECT_TRUE(groups[1].isComplete());
         EXPECT_EQ(groups[0].epoch, 4U);
         EXPECT_EQ(groups[1].size, 3U);
         for (unsigned place = 0; place < 8; ++place) {
@@ -69,7 +69,7 @@
     EXPECT_EQ(defectOf({rank("g", 0, 2), rank("g", 1, 2)}), GroupDefect::None);
     EXPECT_EQ(defectOf({rank("g", 0, 2)}), GroupDefect::RankMissing);
     EXPECT_EQ(defectOf({rank("g", 1, 2), rank("g", 2, 2)}), GroupDefect::RankMissing);
-    EXPECT_EQ(defectOf({rank("g", 0, 2), rank("g", 0, 2), rank("g", 1, 2)}), GroupDefect::RankTwice);
+    EXPECT_EQ(defectOf({rank("g", 0, 2), rank("g", 0, 2), rank("g", 1, 2)}), GroupDefect::RankDuplicated);
     EXPECT_EQ(defectOf({rank("g", 0, 2), rank("g", 1, 3), rank("g", 2, 3)}), GroupDefect::SizeUnknown);
     EXPECT_EQ(defectOf({rank("g", 0, 0), rank("g", 1, 0)}), GroupDefect::SizeUnknown);
     EXPECT_EQ(defectOf({rank("g", 0, 2, 3), rank("g", 1, 2, 4)}), GroupDefect::EpochsDiffer);
@@ -81,19 +81,19 @@
 TEST(RankGroups, ARankThatMovesLeavesOneGroupShortAndMakesTheOtherWhole)
 {
     std::vector<RankReportRead> reports{rank("x", 0, 2), rank("x", 1, 2), rank("y", 0, 2)};
-    EXPECT_TRUE(findGroup(formGroups(reports), "x")->whole());
-    EXPECT_FALSE(findGroup(formGroups(reports), "y")->whole());
+    EXPECT_TRUE(findGroup(formGroups(reports), "x")->isComplete());
+    EXPECT_FALSE(findGroup(formGroups(reports), "y")->isComplete());
     reports[1] = rank("y", 1, 2);
     const auto groups = formGroups(reports);
-    EXPECT_FALSE(findGroup(groups, "x")->whole());
-    EXPECT_TRUE(findGroup(groups, "y")->whole());
+    EXPECT_FALSE(findGroup(groups, "x")->isComplete());
+    EXPECT_TRUE(findGroup(groups, "y")->isComplete());
     EXPECT_EQ(findGroup(groups, "z"), nullptr);
 }
 
 TEST(RankGroups, EachDefectHasAName)
 {
     for (const GroupDefect defect :
-         {GroupDefect::None, GroupDefect::SizeUnknown, GroupDefect::RankMissing, GroupDefect::RankTwice, GroupDefect::EpochsDiffer}) {
+         {GroupDefect::None, GroupDefect::SizeUnknown, GroupDefect::RankMissing, GroupDefect::RankDuplicated, GroupDefect::EpochsDiffer}) {
         EXPECT_NE(groupDefectName(defect), "");
     }
 }
