--- a/standins/platformfleet.cpp
+++ b/standins/platformfleet.cpp
@@ -25,7 +25,7 @@
 {
 
 const std::string kLoopback = "127.0.0.1";
-const std::string kObjects(wire_names::kObjects);
+const std::string kObjects(wire_names::kObjectsPath);
 const std::string kOther = "other"; ///< an attempt that nobody made
 constexpr unsigned kOk = 200;
 constexpr unsigned kCreated = 201;
@@ -59,7 +59,7 @@
 /** A whole answer to a request that was never made. */
 std::string strayAnswer()
 {
-    return "HTTP/1.1 200 OK\r\n" + line(wire_names::kAttemptId, kOther) + line(wire_names::kSeal, "x") + "Content-Length: 5\r\n\r\nwrong";
+    return "HTTP/1.1 200 OK\r\n" + line(wire_names::kAttemptId, kOther) + line(wire_names::kServerSeal, "x") + "Content-Length: 5\r\n\r\nwrong";
 }
 
 } // namespace
@@ -348,7 +348,7 @@
 {
     if (request.target().starts_with("/stream/")) {
         co_await write(stream,
-                       head(request, "200 OK", line(wire_names::kSeal, m_id) + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"));
+                       head(request, "200 OK", line(wire_names::kServerSeal, m_id) + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"));
     }
     if (!m_acceptor.is_open()) {
         co_return; // another request ended it meanwhile
@@ -362,7 +362,7 @@
 
 asio::awaitable<bool> PlatformRunner::answerReport(boost::beast::tcp_stream &stream, const HttpRequest &request, bool &again)
 {
-    if (request.target() != wire_names::kReport) {
+    if (request.target() != wire_names::kReportPath) {
         co_return false;
     }
     ++reports;
@@ -374,7 +374,7 @@
 
 std::string PlatformRunner::head(const HttpRequest &request, const std::string &status, const std::string &extra) const
 {
-    return "HTTP/1.1 " + status + "\r\n" + line(wire_names::kAttemptId, header(request, wire_names::kAttemptId)) + line(wire_names::kLoad, "1,0,4")
+    return "HTTP/1.1 " + status + "\r\n" + line(wire_names::kAttemptId, header(request, wire_names::kAttemptId)) + line(wire_names::kServerLoad, "1,0,4")
            + line("Keep-Alive", "timeout=5") + ownLines() + extra;
 }
 
@@ -396,13 +396,13 @@
 asio::awaitable<bool> PlatformRunner::answer(boost::beast::tcp_stream &stream, const HttpRequest &request, RunnerAct act)
 {
     const std::string body = "from " + m_id;
-    const std::string sealed = line(wire_names::kSeal, m_id);
+    const std::string sealed = line(wire_names::kServerSeal, m_id);
     const std::string length = "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n";
     if (act == RunnerAct::Refuse || act == RunnerAct::Misdirected) {
         const bool full = act == RunnerAct::Refuse;
         const std::string status = full ? "503 Service Unavailable" : "421 Misdirected Request";
         const std::string wait = full && !retryAfter.empty() ? line(wire_names::kRetryAfter, retryAfter) : "";
-        co_return co_await write(stream, "HTTP/1.1 " + status + "\r\n" + line(wire_names::kNotRun, "1") + wait + ownLines() + "Content-Length: 0\r\n\r\n");
+        co_return co_await write(stream, "HTTP/1.1 " + status + "\r\n" + line(wire_names::kNotExecuted, "1") + wait + ownLines() + "Content-Length: 0\r\n\r\n");
     }
     ran.push_back(header(request, wire_names::kAttemptId));
     co_await pause(work);
@@ -459,7 +459,7 @@
     const std::string last = header(request, wire_names::kLastEventId);
     const unsigned first = last.empty() ? 0 : static_cast<unsigned>(std::stoul(last)) + 1;
     bool open = co_await write(
-        stream, head(request, "200 OK", line(wire_names::kSeal, m_id) + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"));
+        stream, head(request, "200 OK", line(wire_names::kServerSeal, m_id) + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"));
     for (unsigned i = first; i < events && open; ++i) {
         std::string event = "id: " + std::to_string(i) + "\ndata: part " + std::to_string(i) + "\n\n";
         const bool cut = act == RunnerAct::CutStream && i == first + 2;
--- a/testing/platformcodec_test.cpp
+++ b/testing/platformcodec_test.cpp
@@ -6,7 +6,7 @@
 
 #include "fulmarlink/resultcode.h"
 #include "platform/configurationdecoder.h"
-#include "platform/jsonread.h"
+#include "platform/jsonreader.h"
 #include "platform/platformprotocol.h"
 #include "platform/rankcodec.h"
 
--- a/testing/soak_main.cpp
+++ b/testing/soak_main.cpp
@@ -367,7 +367,7 @@
         if (answer.result_int() != 200) {
             return;
         }
-        const std::string seal(answer[std::string(wire_names::kSeal)]);
+        const std::string seal(answer[std::string(wire_names::kServerSeal)]);
         std::string expected = "from " + seal;
         if (attempt.kind == Kind::Stream && answer[http::field::content_type] == "text/event-stream") {
             expected.clear();
