--- a/fulmarlink/groupswitch.cpp
+++ b/fulmarlink/groupswitch.cpp
@@ -1,16 +1,19 @@
-// Why no pass begins with two maps. A rank changes its map only as the pass P begins for
-// which it is armed. Arm orders for (V, P) are sent only after every rank has prepared V
-// and while one rank holds P; go for P is sent only after every rank has said that it is
-// armed for (V, P). So when P begins, all ranks change to V. Late orders: an arm or a hold
-// for P is refused once P has begun, and until then repeats what already holds; a go for P
-// finds no hold, since P is held once; a prepare of an older version than the rank has had
-// is refused. V is unique to a term, so it names one content. An owner that takes over and
-// finds P held arms the version that all have prepared, as the owner would have: an arm that
-// the owner still sends says the same. So everybody may finish a switch at any time, beside
-// its owner too, and reports that are old only lead to orders that are refused. Only where
-// a rank has not prepared is the pass let go without arms, and only once the owner's lease
-// has ended. A rank that is lost ends the epoch, and with it all that
-// was prepared, armed or held.
+// Why no pass begins with two maps. A rank changes its map only at the start of the pass P for
+// which it is armed. Arm orders for (V, P) are sent only after every rank has prepared V and
+// while one rank holds P; the release of P is sent only after every rank has confirmed that it
+// is armed for (V, P). So all ranks change to V when P begins.
+//
+// Delayed orders. An arm or hold order for P is refused once P has begun, and before that it
+// repeats the present state. A delayed release of P finds no hold, since P is held only once. A
+// prepare order for an older version than the rank has already had is refused. A version is
+// unique to an owner's term, so it identifies the content of one map.
+//
+// Concurrent drivers. A new owner that finds P held arms the version that all ranks have
+// prepared, as the previous owner would have; an arm order that the previous owner still sends
+// is identical. So any host may complete a switch at any time, even while the owner is active,
+// and stale reports only lead to orders that are refused. The pass is released without arming
+// only if some rank has not prepared, and only after the owner's lease has ended. The loss of a
+// rank ends the epoch and discards everything that was prepared, armed or held.
 
 #include "fulmarlink/groupswitch.h"
 
@@ -82,13 +85,13 @@
     const bool prepared = m_version != 0 && std::ranges::all_of(reports, [&](const RankReport &report) {
                               return report.prepared == m_version || report.armed == m_version || report.map == m_version;
                           });
-    const bool alone = ownerGone || mutated(Mutation::LetGoBesideOwner);
-    if (isHeld && !prepared && (!alone || armedRanks > 0)) {
-        return false; // its owner may be about to arm, or a rank that is lost ends the epoch
+    const bool ownerInactive = ownerGone || mutated(Mutation::LetGoBesideOwner);
+    if (isHeld && !prepared && (!ownerInactive || armedRanks > 0)) {
+        return false; // the owner may be about to arm, or a rank was lost, which ends the epoch
     }
     m_recovering = true;
     if (!isHeld) {
-        enter(SwitchPhase::Hold); // the pass must not begin before every rank is armed
+        enter(SwitchPhase::Hold); // prevents the pass from beginning before every rank is armed
     } else {
         enter(prepared ? SwitchPhase::Arm : SwitchPhase::Release);
     }
@@ -100,7 +103,7 @@
 {
     m_pass = pass;
     m_needsPass = false;
-    m_ranks[m_holder].stuck = false;
+    m_ranks[m_holder].awaitsReport = false;
     if (mutated(Mutation::ArmUnheld)) {
         enter(SwitchPhase::Arm);
     }
@@ -112,13 +115,13 @@
     m_needsPass = phase == SwitchPhase::Hold && m_pass == 0;
     for (Rank &rank : m_ranks) {
         rank.done = false;
-        rank.stuck = false;
+        rank.awaitsReport = false;
         rank.accepted = false;
         rank.refusals = 0;
     }
 }
 
-bool GroupSwitch::takesPart(unsigned rank) const
+bool GroupSwitch::participates(unsigned rank) const
 {
     return (m_phase != SwitchPhase::Hold && m_phase != SwitchPhase::Release) || rank == m_holder;
 }
@@ -158,7 +161,7 @@
     const RankOrder order = orderFor();
     for (unsigned rank = 0; rank < m_ranks.size(); ++rank) {
         const Rank &state = m_ranks[rank];
-        if (state.done || state.stuck || !takesPart(rank)) {
+        if (state.done || state.awaitsReport || !participates(rank)) {
             continue;
         }
         result.push_back({rank, order});
@@ -173,17 +176,17 @@
     case OrderResult::Accepted:
         state.accepted = true;
         state.done = m_phase != SwitchPhase::Prepare;
-        state.stuck = m_phase == SwitchPhase::Prepare; // the copy takes time; the report tells when it is there
+        state.awaitsReport = m_phase == SwitchPhase::Prepare; // copying takes time; only the report shows when it is complete
         break;
     case OrderResult::Unknown:
-        break; // sent again
+        break; // the order is sent again
     case OrderResult::Refused:
         if (m_recovering && m_phase == SwitchPhase::Hold) {
-            m_phase = SwitchPhase::Idle; // the pass has begun, so every rank was armed for it
+            m_phase = SwitchPhase::Idle; // the pass has begun, so every rank was already armed for it
             return;
         }
         m_needsPass = m_phase == SwitchPhase::Hold;
-        state.stuck = m_phase != SwitchPhase::Arm || ++state.refusals >= kMaxArmRefusals;
+        state.awaitsReport = m_phase != SwitchPhase::Arm || ++state.refusals >= kMaxArmRefusals;
         break;
     }
     advance();
@@ -191,14 +194,14 @@
 
 void GroupSwitch::observeRank(Rank &rank, const RankReport &report)
 {
-    rank.stuck = false;
+    rank.awaitsReport = false;
     rank.refusals = 0;
     switch (m_phase) {
     case SwitchPhase::Idle:
         break;
     case SwitchPhase::Prepare:
         rank.done = report.prepared == m_version;
-        rank.stuck = !rank.done && rank.accepted;
+        rank.awaitsReport = !rank.done && rank.accepted;
         break;
     case SwitchPhase::Hold:
         rank.done = report.heldPass == m_pass;
@@ -220,18 +223,18 @@
     const bool sameGroup = reports.size() == m_ranks.size() && std::ranges::all_of(reports, [&](const RankReport &report) {
                                return report.epoch == m_epoch;
                            });
-    const bool disturbed = m_phase == SwitchPhase::Prepare && std::ranges::any_of(reports, [](const RankReport &report) {
-                               return report.armed != 0 || report.heldPass;
-                           });
+    const bool otherSwitchActive = m_phase == SwitchPhase::Prepare && std::ranges::any_of(reports, [](const RankReport &report) {
+                                       return report.armed != 0 || report.heldPass;
+                                   });
     const bool superseded = std::ranges::any_of(reports, [&](const RankReport &report) {
         return report.map > m_version && m_version != 0;
     });
-    if (!sameGroup || disturbed || superseded) {
+    if (!sameGroup || otherSwitchActive || superseded) {
         m_phase = SwitchPhase::Idle;
         return;
     }
     if (m_phase == SwitchPhase::Hold && reports[m_holder].heldPass) {
-        m_pass = *reports[m_holder].heldPass; // an earlier hold was carried out after all; a rank has one at a time
+        m_pass = *reports[m_holder].heldPass; // a delayed hold order took effect; a rank has one hold at a time
         m_needsPass = false;
     }
     for (unsigned rank = 0; rank < m_ranks.size(); ++rank) {
@@ -246,7 +249,7 @@
         return completedRanks() > 0;
     }
     for (unsigned rank = 0; rank < m_ranks.size(); ++rank) {
-        if (takesPart(rank) && !m_ranks[rank].done) {
+        if (participates(rank) && !m_ranks[rank].done) {
             return false;
         }
     }
--- a/fulmarlink/groupswitch.h
+++ b/fulmarlink/groupswitch.h
@@ -12,91 +12,91 @@
 
 enum class SwitchPhase : std::uint8_t {
     Idle,
-    Prepare, ///< every rank copies the new map's experts
-    Hold, ///< one rank holds a pass back
-    Arm, ///< every rank is told to switch as that pass begins
-    Release, ///< the pass is let go
+    Prepare, ///< every rank copies the experts of the new map
+    Hold, ///< one rank delays the start of a pass
+    Arm, ///< every rank is told to switch at the start of that pass
+    Release, ///< the held pass may begin
 };
 
 std::string_view switchPhaseName(SwitchPhase phase);
 
-/** An order for one rank. */
+/** An order and the rank that it is sent to. */
 struct AddressedOrder {
     unsigned rank = 0;
     RankOrder order;
 };
 
 /**
- * Switches a group's expert map so that no pass begins with two maps.
+ * State machine that switches the expert map of a rank group so that no pass begins with two maps.
  *
- * Prepare everywhere; hold a pass that has not begun on one rank; arm every rank for
- * that pass; let it go when every rank is armed. Until then the group stands before the
- * held pass at the worst, so it never begins that pass with some ranks armed.
+ * The steps: prepare the map on every rank; hold, on one rank, a pass that has not begun; arm
+ * every rank for that pass; release the pass once every rank is armed. Until then the group at
+ * worst waits before the held pass, so it never begins that pass with only some ranks armed.
  *
- * Orders may be carried out seconds late, or by an owner that was replaced; the engines
- * don't count these orders, so an order can't be made void by a newer one. What keeps a late
- * order harmless is that everything goes forward only: versions are unique to an owner's
- * term, a pass that has begun can't be held or armed any more, and whoever takes over
- * finishes the switch that it finds. See the head of groupswitch.cpp.
+ * Orders may take effect seconds late, or come from an owner that has been replaced. Engines
+ * don't number these orders, so a newer order can't invalidate an older one. Delayed orders are
+ * harmless because state only moves forward: versions are unique to an owner's term, a pass that
+ * has begun can no longer be held or armed, and a new owner completes the switch that it finds.
+ * The head of groupswitch.cpp has the full argument.
  *
- * How to use: begin() with a plan, or recover() after taking over; then send what
- * orders() gives, feed each result(), and, when needsReports(), observe() reports that
- * were read after the last order's time and the reports' lag. reach() the phase Idle.
+ * Usage: call begin() with a plan, or recover() after taking over. Then, until the phase is
+ * Idle, send the pendingOrders() and pass each answer to recordResult(). When needsReports(),
+ * call observe() with reports that were read after the last order and the lag of reports.
  *
- * Contract: pure; not thread-safe; copyable.
+ * No I/O and no clock; not thread-safe; copyable.
  */
 class GroupSwitch
 {
 public:
     /**
-     * Arm orders that a rank may refuse before its report is read. They are sent again each 15 ms while the pass is held, so this is the age of a
-     * report: a copy that is later than that is not on its way.
+     * Arm orders that a rank may refuse in a row before its report is read. While the pass is held they are resent every 15 ms, so this many
+     * span the age of a report: a copy that is still missing by then is not in progress.
      */
     static constexpr unsigned kMaxArmRefusals = 18;
 
-    /** Begins a switch of a group whose ranks all use one map, with nothing armed or held. @p version is higher than any before. */
+    /** Begins a switch of a group whose ranks all use one map, with nothing armed or held. @p version must be higher than all earlier ones. */
     void begin(unsigned ranks, std::uint64_t epoch, std::uint64_t version, GroupMap map);
     /**
-     * Finishes what the reports, of all ranks in rank order, show as under way; beside its owner too.
-     * @p ownerGone: nobody else may be driving it. False if there is nothing to do.
+     * Completes the switch that the reports (of all ranks, in rank order) show in progress; safe while its owner is still active.
+     * @p ownerGone: no other host can be driving the switch. Returns false if there is nothing to do.
      */
     bool recover(const std::vector<RankReport> &reports, bool ownerGone);
     /**
-     * The copies of all ranks must be there by now. Arm orders find out: a rank refuses
-     * them until its copy is there, while the pass is held.
+     * Leaves the phase Prepare on the assumption that all ranks have finished copying. A rank
+     * refuses arm orders until its copy is complete, with the pass held meanwhile.
      */
     void assumePrepared();
-    /** A pass to hold at, once every rank has prepared; @p pass has not begun. */
+    /** Sets the pass to hold, once every rank has prepared; @p pass must not have begun. */
     void holdAt(std::uint64_t pass);
 
     std::vector<AddressedOrder> pendingOrders() const;
     void recordResult(unsigned rank, OrderResult result);
-    /** Reports of all ranks in rank order. */
+    /** Updates the state from the reports of all ranks, in rank order. */
     void observe(const std::vector<RankReport> &reports);
 
     SwitchPhase phase() const;
-    /** Orders alone don't lead on: reports must be read. */
+    /** True if no order is pending and only new reports can advance the switch. */
     bool needsReports() const;
-    /** The held pass was refused as begun: holdAt() a later one. */
+    /** True if a pass to hold must be chosen with holdAt(), at first or because the last one had already begun. */
     bool needsPass() const;
     std::uint64_t version() const;
     std::uint64_t pass() const;
-    /** Ranks whose part of the phase is done. */
+    /** Number of ranks that have completed the phase. */
     unsigned completedRanks() const;
 
 private:
     struct Rank {
-        bool done = false; ///< its part of the phase
-        bool accepted = false; ///< it has taken the phase's order
-        unsigned refusals = 0; ///< of the phase's order, in a row
-        bool stuck = false; ///< only its report tells how it goes on
+        bool done = false; ///< it has completed the phase
+        bool accepted = false; ///< it has accepted the order of the phase
+        unsigned refusals = 0; ///< consecutive refusals of the order of the phase
+        bool awaitsReport = false; ///< no order is sent to it until its report has been read
     };
 
     void enter(SwitchPhase phase);
     void advance();
     bool allDone() const;
     RankOrder orderFor() const;
-    bool takesPart(unsigned rank) const;
+    bool participates(unsigned rank) const;
     void observeRank(Rank &rank, const RankReport &report);
 
     SwitchPhase m_phase = SwitchPhase::Idle;
@@ -110,7 +110,7 @@
     GroupMap m_map;
 };
 
-/** True if all reports are of one open group's epoch with one map and nothing armed or held. */
+/** True if all reports are from one epoch of an open group, with one map and nothing armed or held. */
 bool groupSettled(const std::vector<RankReport> &reports);
 
 } // namespace fulmarlink
--- a/fulmarlink/rankgroups.cpp
+++ b/fulmarlink/rankgroups.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-constexpr unsigned kMaxRanks = 4096; ///< a larger claim is not believed, so that a wrong report can't make a loop long
+constexpr unsigned kMaxRanks = 4096; ///< larger sizes are rejected, so that a wrong report can't cause a long loop
 
 GroupDefect defectOf(const RankGroup &group, std::span<const RankReportRead> reports)
 {
--- a/fulmarlink/rankgroups.h
+++ b/fulmarlink/rankgroups.h
@@ -11,42 +11,42 @@
 namespace fulmarlink
 {
 
-/** Why the reports at hand don't show a whole group. */
+/** Why a set of reports doesn't describe a complete group. */
 enum class GroupDefect : std::uint8_t {
     None,
-    SizeUnknown, ///< no member says how many ranks there are, or members disagree
-    RankMissing, ///< nobody reports some rank of the newest epoch
-    RankDuplicated, ///< two runners claim one rank of the newest epoch
+    SizeUnknown, ///< no member reports a plausible group size, or members disagree on it
+    RankMissing, ///< a rank of the newest epoch is not reported
+    RankDuplicated, ///< two runners report the same rank of the newest epoch
     EpochsDiffer, ///< a member still reports an earlier epoch
 };
 
 std::string_view groupDefectName(GroupDefect defect);
 
-/** One rank group as its members' reports show it. */
+/** A rank group as described by the reports of its members. */
 struct RankGroup {
     std::string name;
-    std::uint64_t epoch = 0; ///< the newest that a member reports
-    unsigned size = 0; ///< ranks that the group has when it is whole
-    std::vector<unsigned> members; ///< indices of its reports, by rank, then as given
+    std::uint64_t epoch = 0; ///< the newest that any member reports
+    unsigned size = 0; ///< number of ranks of the complete group
+    std::vector<unsigned> members; ///< indices of its reports, by rank, then in input order
     GroupDefect defect = GroupDefect::None;
 
     bool isComplete() const;
 };
 
 /**
- * The groups that runners form, from what each says of itself: its group's name and epoch,
- * its rank and the group's size. Neither the order of the reports nor the names' pattern
- * counts. Reports that failed, and runners in no group, belong to none.
+ * Forms rank groups from what each runner reports: the name, epoch and size of its group, and
+ * its rank. Neither the order of the reports nor any pattern in the names matters. Failed
+ * reports and runners without a group are left out.
  *
- * A group is whole if every rank of its newest epoch is reported exactly once and by all
- * with one size; only a whole group may be given orders. Otherwise its members still say
- * which runners fail or stall together.
+ * A group is complete if every rank of its newest epoch is reported exactly once and all members
+ * report the same size; orders may be sent only to a complete group. The members of an incomplete
+ * group still show which runners fail or stall together.
  *
- * Pure. O(reports x log reports). Sorted by name.
+ * Sorted by name. Pure function; O(n log n) in the number of reports.
  */
 std::vector<RankGroup> formGroups(std::span<const RankReportRead> reports);
 
-/** Null if there is no group of that name. */
+/** Returns null if there is no group with that name. */
 const RankGroup *findGroup(std::span<const RankGroup> groups, std::string_view name);
 
 } // namespace fulmarlink
