--- a/testing/gatewaygroups_test.cpp
+++ b/testing/gatewaygroups_test.cpp
@@ -1,5 +1,5 @@
-// The gateway before a pool whose runners form two rank groups: what one group suffers must not
-// refuse, stop or slow the work of the other.
+// A gateway with a pool whose runners form two rank groups: a failure of one group must not
+// cause refused, stopped or slow requests in the other.
 
 #include "testing/harness/gatewayfixture.h"
 
@@ -12,7 +12,7 @@
 class GatewayGroupsTest : public GatewayTest
 {
 public:
-    /** Each runner stands for a group. */
+    /** Starts with each runner as a group of its own. */
     void startGroups()
     {
         joinGroups("north", "south");
@@ -24,14 +24,14 @@
             4s));
     }
 
-    void always(PlatformRunner &runner, RunnerAct act)
+    void setAct(PlatformRunner &runner, RunnerAct act)
     {
         runner.act = [act](const HttpRequest &) {
             return act;
         };
     }
 
-    unsigned answered(unsigned requests, const std::string &path)
+    unsigned countAnswered(unsigned requests, const std::string &path)
     {
         unsigned count = 0;
         for (unsigned i = 0; i < requests; ++i) {
@@ -43,15 +43,15 @@
 
 } // namespace
 
-// The load: a rank is lost, its whole group refuses everything for seconds.
-TEST_F(GatewayGroupsTest, AGroupThatRefusesEverythingClosesNothingButItself)
+// When a rank is lost, its whole group refuses all requests for seconds.
+TEST_F(GatewayGroupsTest, GroupThatRefusesEverythingLeavesTheOtherAvailable)
 {
     startGroups();
-    always(a, RunnerAct::Refuse);
-    EXPECT_EQ(answered(20, "/once/x"), 20U);
-    const std::size_t tried = a.seen.size();
-    EXPECT_LE(tried, 12U) << "after a few refusals only one request each 150 ms finds out whether the group is back";
-    always(a, RunnerAct::Answer);
+    setAct(a, RunnerAct::Refuse);
+    EXPECT_EQ(countAnswered(20, "/once/x"), 20U);
+    const std::size_t attempts = a.seen.size();
+    EXPECT_LE(attempts, 12U) << "after a few refusals only one request per 150 ms probes whether the group has recovered";
+    setAct(a, RunnerAct::Answer);
     EXPECT_TRUE(runUntil(
         [this] {
             return ask(request("/once/x")).status == 200 && !a.ran.empty();
@@ -59,8 +59,8 @@
         3s));
 }
 
-// The load: a rank is lost while streams run; another rank of the same group could not go on.
-TEST_F(GatewayGroupsTest, AStreamThatABrokenGroupCutGoesOnInAnotherGroup)
+// When a rank is lost during a stream, the other ranks of its group can't continue the stream either.
+TEST_F(GatewayGroupsTest, StreamCutByAFailedGroupContinuesInAnotherGroup)
 {
     startGroups();
     bool cut = false;
@@ -76,8 +76,8 @@
     EXPECT_EQ(b.ran.size(), 1U);
 }
 
-// A host of the earlier version, which knows one group a pool, may run beside this one while hosts are replaced.
-TEST_F(GatewayGroupsTest, TheLeaseOfAPoolSaysNothingAboutItsGroups)
+// During a rolling update, a host of the earlier version, which supports one group per pool, may run at the same time.
+TEST_F(GatewayGroupsTest, LeaseOfThePoolDoesNotAffectItsGroups)
 {
     store.set("fulmarlink-leases", "plain", json::object{{"holder", "earlier"}, {"renewals", 7}, {"slow", json::array{"i-a"}}});
     startGroups();
@@ -87,69 +87,69 @@
     for (unsigned i = 0; i < 20; ++i) {
         ask(request("/once/x"));
     }
-    EXPECT_GT(a.ran.size(), 0U) << "it is not slow";
+    EXPECT_GT(a.ran.size(), 0U) << "the slow list of the pool's lease must be ignored";
     EXPECT_TRUE(store.has("fulmarlink-leases", "plain"));
 }
 
-// A runner that starts again under its id knows none of the connections to its earlier life.
-TEST_F(GatewayGroupsTest, ARunnerThatStartsAgainUnderItsIdIsMetOnNewConnections)
+// A restarted runner with the same id has none of the connections of its previous incarnation.
+TEST_F(GatewayGroupsTest, RestartedRunnerWithTheSameIdGetsNewConnections)
 {
     list("i-b", "draining");
-    const auto born = [this](std::uint64_t when) {
+    const auto setStartTime = [this](std::uint64_t startTime) {
         json::object entry = standins::runnerEntry("plain", addresses["i-a"], 4);
-        entry["born"] = when;
+        entry["born"] = startTime;
         store.set("servers", "i-a", entry);
     };
-    born(1'790'000'000'000);
+    setStartTime(1'790'000'000'000);
     start();
-    ASSERT_EQ(answered(3, "/once/x"), 3U);
-    const std::size_t before = a.connections;
-    born(1'790'000'007'000);
+    ASSERT_EQ(countAnswered(3, "/once/x"), 3U);
+    const std::size_t connectionsBefore = a.connections;
+    setStartTime(1'790'000'007'000);
     context.run_for(2500ms);
-    EXPECT_EQ(answered(3, "/once/x"), 3U);
-    EXPECT_EQ(a.connections, before + 1);
+    EXPECT_EQ(countAnswered(3, "/once/x"), 3U);
+    EXPECT_EQ(a.connections, connectionsBefore + 1);
 }
 
-// Another writer's entries: each is no runner, and none of them hides the others.
-TEST_F(GatewayGroupsTest, EntriesOfAnotherWriterNameNoRunnerAndHideNone)
+// Malformed entries, as another writer may store them, must be skipped without affecting valid entries.
+TEST_F(GatewayGroupsTest, MalformedEntriesAreSkippedAndHideNoRunner)
 {
     start();
-    ASSERT_EQ(answered(2, "/once/x"), 2U);
-    const json::object sound = standins::runnerEntry("plain", addresses["i-b"], 4);
-    const auto with = [&sound](const std::string &field, json::value value) {
-        json::object entry = sound;
+    ASSERT_EQ(countAnswered(2, "/once/x"), 2U);
+    const json::object validEntry = standins::runnerEntry("plain", addresses["i-b"], 4);
+    const auto entryWith = [&validEntry](const std::string &field, json::value value) {
+        json::object entry = validEntry;
         entry[field] = std::move(value);
         return entry;
     };
-    const std::vector<json::value> forged{json::object{},
-                                          json::value(7),
-                                          json::value("text"),
-                                          with("addr", 5),
-                                          with("addr", "nowhere"),
-                                          with("state", "asleep"),
-                                          with("state", 1),
-                                          with("slots", "many"),
-                                          with("service", json::array{}),
-                                          with("zone", json::object{}),
-                                          with("addr", "127.0.0.1:99999"),
-                                          with("addr", "127.0.0.1:80x"),
-                                          with("slots", -4),
-                                          with("born", "yesterday"),
-                                          with("version", 2),
-                                          with("cold_left_ms", "none"),
-                                          with("call_seq", nullptr),
-                                          with("models", "m")};
-    for (std::size_t i = 0; i < forged.size(); ++i) {
-        store.set("servers", "forged-" + std::to_string(i), forged[i]);
+    const std::vector<json::value> malformed{json::object{},
+                                             json::value(7),
+                                             json::value("text"),
+                                             entryWith("addr", 5),
+                                             entryWith("addr", "nowhere"),
+                                             entryWith("state", "asleep"),
+                                             entryWith("state", 1),
+                                             entryWith("slots", "many"),
+                                             entryWith("service", json::array{}),
+                                             entryWith("zone", json::object{}),
+                                             entryWith("addr", "127.0.0.1:99999"),
+                                             entryWith("addr", "127.0.0.1:80x"),
+                                             entryWith("slots", -4),
+                                             entryWith("born", "yesterday"),
+                                             entryWith("version", 2),
+                                             entryWith("cold_left_ms", "none"),
+                                             entryWith("call_seq", nullptr),
+                                             entryWith("models", "m")};
+    for (std::size_t i = 0; i < malformed.size(); ++i) {
+        store.set("servers", "forged-" + std::to_string(i), malformed[i]);
     }
     store.set("servers", "i-b", json::object{{"service", "plain"}, {"addr", 1}});
     a.ran.clear();
     context.run_for(2500ms);
     b.seen.clear();
-    EXPECT_EQ(answered(10, "/once/x"), 10U);
+    EXPECT_EQ(countAnswered(10, "/once/x"), 10U);
     EXPECT_EQ(b.seen.size(), 0U);
-    EXPECT_NE(counters.text().find("fulmarlink_malformed_targets " + std::to_string(forged.size() + 1) + '\n'), std::string::npos) << counters.text();
-    store.spoil = true; // an item that is no text in any encoding
+    EXPECT_NE(counters.text().find("fulmarlink_malformed_targets " + std::to_string(malformed.size() + 1) + '\n'), std::string::npos) << counters.text();
+    store.spoil = true; // returns an item that is not text in any encoding
     list("i-b");
     EXPECT_TRUE(runUntil(
         [this] {
@@ -158,15 +158,15 @@
         4s));
 }
 
-// The load: ranks leave orders unanswered while a pass is held; all ranks wait for the answer that does not come.
-TEST_F(GatewayGroupsTest, AnOrderThatIsNotAnsweredWhileAPassIsHeldIsGivenUpSoon)
+// When a rank does not answer an order while a pass is held, all ranks wait until the order times out.
+TEST_F(GatewayGroupsTest, UnansweredArmOrderTimesOutQuickly)
 {
     PlatformClient client(context.get_executor(), clock, counters, {.store = settings.store});
-    always(a, RunnerAct::Silent);
+    setAct(a, RunnerAct::Silent);
     TargetInfo target;
     target.id = "i-a";
     target.address = addresses["i-a"];
-    const auto took = [&](RankOrderKind kind) {
+    const auto orderDuration = [&](RankOrderKind kind) {
         const TimePoint began = clock.now();
         bool done = false;
         asio::co_spawn(
@@ -186,8 +186,8 @@
             2s);
         return clock.now() - began;
     };
-    EXPECT_LT(took(RankOrderKind::Arm), 100ms);
-    EXPECT_GT(took(RankOrderKind::Prepare), 100ms) << "a map takes time on a slow link";
+    EXPECT_LT(orderDuration(RankOrderKind::Arm), 100ms);
+    EXPECT_GT(orderDuration(RankOrderKind::Prepare), 100ms) << "transferring a map takes time on a slow link";
 }
 
 } // namespace fulmarlink::testing
--- a/testing/harness/fakegroup.cpp
+++ b/testing/harness/fakegroup.cpp
@@ -20,7 +20,7 @@
 {
 
 constexpr std::uint64_t kEpoch = 1;
-constexpr double kChoicesOfPass = 4000; ///< of one rank
+constexpr double kSelectionsPerPass = 4000; ///< expert selections of one rank
 
 } // namespace
 
@@ -35,9 +35,9 @@
     for (Rank &rank : m_ranks) {
         rank.counts.resize(options.experts);
     }
-    for (unsigned place = 0; place < options.ranks * options.placements; ++place) {
-        const unsigned expert = place % options.experts;
-        auto &held = m_map[place % options.ranks];
+    for (unsigned slot = 0; slot < options.ranks * options.placements; ++slot) {
+        const unsigned expert = slot % options.experts;
+        auto &held = m_map[slot % options.ranks];
         if (std::ranges::find(held, expert) == held.end()) {
             held.push_back(static_cast<ExpertId>(expert));
         }
@@ -52,7 +52,7 @@
 void FakeGroup::start(std::function<void(Duration)> onPassEnd)
 {
     m_onPassEnd = std::move(onPassEnd);
-    asio::co_spawn(m_context, passes(), asio::detached);
+    asio::co_spawn(m_context, runPasses(), asio::detached);
 }
 
 void FakeGroup::stop()
@@ -105,17 +105,17 @@
     const double total = std::accumulate(m_demand.begin(), m_demand.end(), 0.0);
     for (Rank &rank : m_ranks) {
         for (unsigned expert = 0; expert < m_options.experts; ++expert) {
-            rank.counts[expert] += static_cast<std::uint64_t>(kChoicesOfPass * m_demand[expert] / total);
+            rank.counts[expert] += static_cast<std::uint64_t>(kSelectionsPerPass * m_demand[expert] / total);
         }
     }
 }
 
-asio::awaitable<void> FakeGroup::passes()
+asio::awaitable<void> FakeGroup::runPasses()
 {
-    boost::system::error_code ignored; // the timer is not cancelled
+    boost::system::error_code ignored; // the timer is never cancelled
     asio::steady_timer timer(m_context);
     while (!m_stopped) {
-        const TimePoint began = now();
+        const TimePoint passStart = now();
         while (m_heldPass == m_pass + 1) {
             timer.expires_after(std::chrono::milliseconds(1));
             co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
@@ -123,7 +123,7 @@
         beginPass();
         timer.expires_after(std::chrono::duration_cast<std::chrono::microseconds>(m_options.balancedPassTime * imbalance()));
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-        m_onPassEnd(now() - began);
+        m_onPassEnd(now() - passStart);
     }
 }
 
@@ -172,7 +172,7 @@
     co_return std::error_code();
 }
 
-asio::awaitable<std::error_code> FakeGroup::removeLimitRecord(TargetIncarnation /*life*/)
+asio::awaitable<std::error_code> FakeGroup::removeLimitRecord(TargetIncarnation /*incarnation*/)
 {
     co_return std::error_code();
 }
@@ -190,7 +190,7 @@
 asio::awaitable<LeaseRead> FakeGroup::writeLease(std::string /*group*/, LeaseRecord record)
 {
     if (leaseWritesTimeOut) {
-        boost::system::error_code ignored; // the timer is not cancelled
+        boost::system::error_code ignored; // the timer is never cancelled
         asio::steady_timer timer(m_context, std::chrono::seconds(1));
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         co_return LeaseRead{ResultCode::StoreAnswerLost, {}};
@@ -245,17 +245,17 @@
     if (order.version <= state.prepared || state.armed != 0) {
         return OrderResult::Refused;
     }
-    const bool late = rank + 1 == m_options.ranks;
+    const bool isLastRank = rank + 1 == m_options.ranks;
     state.prepared = order.version;
-    state.preparedAt = now() + m_options.copyTime + (late ? m_options.lastRankCopyDelay : std::chrono::milliseconds(0));
+    state.preparedAt = now() + m_options.copyTime + (isLastRank ? m_options.lastRankCopyDelay : std::chrono::milliseconds(0));
     m_nextMap = order.map.front();
     return OrderResult::Accepted;
 }
 
 OrderResult FakeGroup::arm(Rank &rank, const RankOrder &order) const
 {
-    const bool ready = rank.prepared == order.version && now() >= rank.preparedAt;
-    if (!ready || order.pass <= m_pass) {
+    const bool isPrepared = rank.prepared == order.version && now() >= rank.preparedAt;
+    if (!isPrepared || order.pass <= m_pass) {
         return OrderResult::Refused;
     }
     rank.armed = order.version;
--- a/testing/harness/fakegroup.h
+++ b/testing/harness/fakegroup.h
@@ -12,32 +12,32 @@
 
 struct FakeGroupOptions {
     unsigned ranks = 4;
-    unsigned experts = 8; ///< of the one set
+    unsigned experts = 8; ///< in the only layer set
     unsigned placements = 3;
-    std::chrono::milliseconds balancedPassTime{40}; ///< of a balanced group
-    std::chrono::milliseconds copyTime{20}; ///< of all experts that are new to a rank
-    std::chrono::milliseconds lastRankCopyDelay{0}; ///< more than that, on the last rank
-    unsigned listedRanks = 4; ///< ranks that answer; the others have not come up yet
+    std::chrono::milliseconds balancedPassTime{40}; ///< duration of a pass while the load is balanced
+    std::chrono::milliseconds copyTime{20}; ///< time to copy all experts that are new to a rank
+    std::chrono::milliseconds lastRankCopyDelay{0}; ///< additional copy time on the last rank
+    unsigned listedRanks = 4; ///< ranks that are listed as targets; the others have not started yet
 };
 
 /**
- * A group of ranks in lock-step behind the Platform interface, in memory and in real time:
- * passes, counts, prepare, arm, hold and go, and a lease that nobody contends for.
+ * In-memory, real-time implementation of Platform for one group of ranks that run in lockstep:
+ * passes, expert counts, the orders prepare, arm, hold and release, and an uncontended lease.
  */
 class FakeGroup final : public Platform
 {
 public:
     FakeGroup(boost::asio::io_context &context, FakeGroupOptions options);
 
-    /** Passes from now on; @p onPassEnd is called at the end of each with its length. */
+    /** Starts running passes; @p onPassEnd is called at the end of each pass with its duration. */
     void start(std::function<void(Duration)> onPassEnd);
     void stop();
-    /** Demand: how often each expert is chosen, in any unit. */
+    /** Sets how often each expert is selected, in arbitrary units. */
     void setDemand(std::vector<double> demand);
-    /** @p rank takes @p slowdown times as long for everything. */
+    /** Makes all work of @p rank take @p slowdown times as long. */
     void setSlowdown(unsigned rank, double slowdown);
     std::vector<TargetInfo> targets() const;
-    /** Busiest rank over mean with the map in use. */
+    /** Load of the busiest rank divided by the mean, with the map in use. */
     double imbalance() const;
 
     boost::asio::awaitable<ConfigurationRead> readConfiguration() override;
@@ -51,8 +51,8 @@
     boost::asio::awaitable<std::error_code> writeCrashRecord(CrashRecord record) override;
     boost::asio::awaitable<std::error_code> removeCrashRecord(std::string name) override;
     boost::asio::awaitable<std::error_code> writeLimitRecord(LimitRecord record) override;
-    boost::asio::awaitable<std::error_code> removeLimitRecord(TargetIncarnation life) override;
-    void setRunnerListener(RunnerAnswerObserver * /*its ranks say nothing of themselves*/) override
+    boost::asio::awaitable<std::error_code> removeLimitRecord(TargetIncarnation incarnation) override;
+    void setRunnerListener(RunnerAnswerObserver * /*its ranks send no runner answers*/) override
     {
     }
     boost::asio::awaitable<RankReportRead> readRankReport(TargetInfo target) override;
@@ -61,11 +61,11 @@
     boost::asio::awaitable<OrderResult> order(TargetInfo target, RankOrder order) override;
 
     LeaseRecord lease;
-    bool leaseWritesTimeOut = false; ///< writes of the lease are not answered for a second, and not done
+    bool leaseWritesTimeOut = false; ///< lease writes have no effect and time out after a second
     unsigned switches = 0;
-    unsigned countReads = 0; ///< times that a rank's counts were read
-    unsigned reportReadsWhileHeld = 0; ///< reports that were read while a pass was held back
-    bool usedMixedMaps = false; ///< a pass has begun with two maps: never
+    unsigned countReads = 0; ///< number of reads of expert counts
+    unsigned reportReadsWhileHeld = 0; ///< number of report reads while a pass was held
+    bool usedMixedMaps = false; ///< a pass began with two maps, which must never happen
 
 private:
     struct Rank {
@@ -77,7 +77,7 @@
         std::vector<std::uint64_t> counts;
     };
 
-    boost::asio::awaitable<void> passes();
+    boost::asio::awaitable<void> runPasses();
     void beginPass();
     unsigned rankOf(const TargetInfo &target) const;
     TimePoint now() const;
@@ -89,7 +89,7 @@
     std::function<void(Duration)> m_onPassEnd;
     std::vector<Rank> m_ranks;
     std::vector<std::vector<ExpertId>> m_map; ///< in use, by rank
-    std::vector<std::vector<ExpertId>> m_nextMap; ///< of the newest prepare
+    std::vector<std::vector<ExpertId>> m_nextMap; ///< map of the newest prepare order, by rank
     std::vector<double> m_demand;
     std::vector<double> m_slowdowns;
     std::uint64_t m_pass = 0;
--- a/testing/harness/rankgroupsimulation.cpp
+++ b/testing/harness/rankgroupsimulation.cpp
@@ -8,27 +8,27 @@
 struct RankGroupSimulation::Rank {
     std::uint64_t map = 0;
     std::uint64_t prepared = 0;
-    std::uint64_t highest = 0; ///< version that it has had
-    unsigned copyEnds = 0; ///< step at which the copy of prepared is there
+    std::uint64_t highestVersion = 0; ///< highest version that it has prepared
+    unsigned copyDoneStep = 0; ///< step at which the copy of the prepared map is complete
     std::uint64_t armed = 0;
     std::uint64_t armedPass = 0;
-    std::optional<std::uint64_t> held;
+    std::optional<std::uint64_t> heldPass;
 };
 
-struct RankGroupSimulation::LateOrder {
+struct RankGroupSimulation::DelayedOrder {
     unsigned due = 0;
     AddressedOrder order;
 };
 
 struct RankGroupSimulation::Driver {
-    GroupSwitch change;
+    GroupSwitch groupSwitch;
     std::uint64_t term = 0;
-    std::uint64_t versions = 0;
+    std::uint64_t versionCount = 0;
     unsigned pausedUntil = 0;
-    unsigned acted = 0; ///< step of its last renewal
+    unsigned lastRenewal = 0; ///< step at which it last renewed its lease
     bool owner = true;
-    bool over = false;
-    bool oneMore = false; ///< it has checked its lease and then was paused: one order still goes out
+    bool finished = false;
+    bool actsAfterExpiry = false; ///< paused between checking its lease and acting, so it sends one more order
 };
 
 RankGroupSimulation::RankGroupSimulation(RankGroupSimulationOptions options)
@@ -39,7 +39,7 @@
     auto first = std::make_unique<Driver>();
     first->term = m_term;
     m_drivers.push_back(std::move(first));
-    remember();
+    recordReports();
 }
 
 RankGroupSimulation::~RankGroupSimulation() = default;
@@ -49,25 +49,25 @@
     return m_random() % 100 < percent;
 }
 
-unsigned RankGroupSimulation::pick(unsigned bound)
+unsigned RankGroupSimulation::randomBelow(unsigned bound)
 {
     return static_cast<unsigned>(m_random() % bound);
 }
 
 unsigned RankGroupSimulation::switches() const
 {
-    return m_switches;
+    return m_switchCount;
 }
 
 unsigned RankGroupSimulation::stalledSteps() const
 {
-    return m_stalled;
+    return m_stalledSteps;
 }
 
-bool RankGroupSimulation::canBegin() const
+bool RankGroupSimulation::canBeginPass() const
 {
     return std::ranges::none_of(m_ranks, [&](const Rank &rank) {
-        return rank.held == m_pass + 1;
+        return rank.heldPass == m_pass + 1;
     });
 }
 
@@ -82,10 +82,10 @@
         rank.armed = 0;
         rank.prepared = 0;
     }
-    const bool same = std::ranges::all_of(m_ranks, [&](const Rank &rank) {
+    const bool sameMap = std::ranges::all_of(m_ranks, [&](const Rank &rank) {
         return rank.map == m_ranks.front().map;
     });
-    if (!same && m_violation.empty()) {
+    if (!sameMap && m_violation.empty()) {
         m_violation = "pass " + std::to_string(m_pass) + " began with two maps at step " + std::to_string(m_step);
     }
 }
@@ -94,50 +94,50 @@
 {
     Rank &rank = m_ranks[addressed.rank];
     const RankOrder &order = addressed.order;
-    bool fits = false;
+    bool accepted = false;
     switch (order.kind) {
     case RankOrderKind::Prepare:
-        fits = rank.armed == 0 && (order.version > rank.highest || order.version == rank.prepared);
-        if (fits && order.version != rank.prepared) {
+        accepted = rank.armed == 0 && (order.version > rank.highestVersion || order.version == rank.prepared);
+        if (accepted && order.version != rank.prepared) {
             rank.prepared = order.version;
-            rank.highest = order.version;
-            rank.copyEnds = m_step + pick(6);
+            rank.highestVersion = order.version;
+            rank.copyDoneStep = m_step + randomBelow(6);
         }
         break;
     case RankOrderKind::Arm:
-        fits = order.pass > m_pass && rank.prepared == order.version && m_step >= rank.copyEnds;
-        if (fits) {
+        accepted = order.pass > m_pass && rank.prepared == order.version && m_step >= rank.copyDoneStep;
+        if (accepted) {
             rank.armed = order.version;
             rank.armedPass = order.pass;
         }
         break;
     case RankOrderKind::Hold:
-        fits = order.pass > m_pass && (!rank.held || rank.held == order.pass);
-        if (fits) {
-            rank.held = order.pass;
+        accepted = order.pass > m_pass && (!rank.heldPass || rank.heldPass == order.pass);
+        if (accepted) {
+            rank.heldPass = order.pass;
         }
         break;
     case RankOrderKind::Release:
-        fits = rank.held == order.pass;
-        if (fits) {
-            rank.held.reset();
+        accepted = rank.heldPass == order.pass;
+        if (accepted) {
+            rank.heldPass.reset();
         }
         break;
     }
-    return fits ? OrderResult::Accepted : OrderResult::Refused;
+    return accepted ? OrderResult::Accepted : OrderResult::Refused;
 }
 
 OrderResult RankGroupSimulation::send(const AddressedOrder &order)
 {
-    if (!m_calm && chance(m_options.delayedPercent)) {
-        m_late.push_back({m_step + 1 + pick(120), order});
+    if (!m_faultFree && chance(m_options.delayedPercent)) {
+        m_delayedOrders.push_back({m_step + 1 + randomBelow(120), order});
         return OrderResult::Unknown;
     }
     const OrderResult result = execute(order);
-    return !m_calm && chance(m_options.lostReplyPercent) ? OrderResult::Unknown : result;
+    return !m_faultFree && chance(m_options.lostReplyPercent) ? OrderResult::Unknown : result;
 }
 
-void RankGroupSimulation::remember()
+void RankGroupSimulation::recordReports()
 {
     std::vector<RankReport> now;
     for (const Rank &rank : m_ranks) {
@@ -149,10 +149,10 @@
         report.rank = static_cast<unsigned>(now.size());
         report.pass = m_pass;
         report.map = rank.map;
-        report.prepared = m_step >= rank.copyEnds ? rank.prepared : 0;
+        report.prepared = m_step >= rank.copyDoneStep ? rank.prepared : 0;
         report.armed = rank.armed;
         report.armedPass = rank.armedPass;
-        report.heldPass = rank.held;
+        report.heldPass = rank.heldPass;
         now.push_back(report);
     }
     m_history.push_front(std::move(now));
@@ -161,115 +161,115 @@
     }
 }
 
-/** Each rank's report is up to @p age steps old. */
+/** One report of each rank, each up to @p age steps old, independently of the others. */
 std::vector<RankReport> RankGroupSimulation::reports(unsigned age)
 {
     std::vector<RankReport> result;
     for (unsigned rank = 0; rank < m_options.ranks; ++rank) {
-        const std::size_t back = std::min<std::size_t>(pick(age + 1), m_history.size() - 1);
-        result.push_back(m_history[back][rank]);
+        const std::size_t stepsBack = std::min<std::size_t>(randomBelow(age + 1), m_history.size() - 1);
+        result.push_back(m_history[stepsBack][rank]);
     }
     return result;
 }
 
-/** One order, one read of reports, or one decision. */
-void RankGroupSimulation::act(Driver &driver)
+/** Lets a driver send one order, read reports once, or make one decision. */
+void RankGroupSimulation::stepDriver(Driver &driver)
 {
-    GroupSwitch &change = driver.change;
-    if (change.needsPass()) {
-        change.observe(reports(0));
-        if (change.needsPass()) {
-            change.holdAt(m_pass + 1 + pick(4));
+    GroupSwitch &groupSwitch = driver.groupSwitch;
+    if (groupSwitch.needsPass()) {
+        groupSwitch.observe(reports(0));
+        if (groupSwitch.needsPass()) {
+            groupSwitch.holdAt(m_pass + 1 + randomBelow(4));
         }
         return;
     }
-    const auto orders = change.pendingOrders();
+    const auto orders = groupSwitch.pendingOrders();
     if (orders.empty()) {
         if (chance(50)) {
-            change.assumePrepared();
+            groupSwitch.assumePrepared();
         } else {
-            change.observe(reports(0)); // read after the last order's time and the reports' lag
+            groupSwitch.observe(reports(0)); // up-to-date reports, as if read after the last order and the lag of reports
         }
         return;
     }
-    const AddressedOrder &order = orders[pick(static_cast<unsigned>(orders.size()))];
-    const SwitchPhase phase = change.phase();
-    change.recordResult(order.rank, send(order));
-    m_switches += phase == SwitchPhase::Release && change.phase() == SwitchPhase::Idle ? 1 : 0;
+    const AddressedOrder &order = orders[randomBelow(static_cast<unsigned>(orders.size()))];
+    const SwitchPhase phase = groupSwitch.phase();
+    groupSwitch.recordResult(order.rank, send(order));
+    m_switchCount += phase == SwitchPhase::Release && groupSwitch.phase() == SwitchPhase::Idle ? 1 : 0;
 }
 
-void RankGroupSimulation::lead()
+void RankGroupSimulation::stepDrivers()
 {
     for (const auto &driver : m_drivers) {
-        if (driver->over || m_step < driver->pausedUntil) {
+        if (driver->finished || m_step < driver->pausedUntil) {
             continue;
         }
-        const bool lapsed = driver->owner && m_step - driver->acted > m_options.leaseSteps && driver != m_drivers.back();
-        if (lapsed) {
-            if (driver->oneMore && driver->change.phase() != SwitchPhase::Idle && !driver->change.needsPass()) {
-                act(*driver);
+        const bool leaseExpired = driver->owner && m_step - driver->lastRenewal > m_options.leaseSteps && driver != m_drivers.back();
+        if (leaseExpired) {
+            if (driver->actsAfterExpiry && driver->groupSwitch.phase() != SwitchPhase::Idle && !driver->groupSwitch.needsPass()) {
+                stepDriver(*driver);
             }
-            driver->over = true;
+            driver->finished = true;
             continue;
         }
-        driver->acted = m_step;
-        if (driver->change.phase() != SwitchPhase::Idle) {
-            act(*driver);
+        driver->lastRenewal = m_step;
+        if (driver->groupSwitch.phase() != SwitchPhase::Idle) {
+            stepDriver(*driver);
         } else if (!driver->owner) {
-            driver->over = true;
-        } else if (!driver->change.recover(reports(0), true) && chance(30)) {
-            driver->change.begin(m_options.ranks, 1, driver->term * 1000 + ++driver->versions, {});
+            driver->finished = true;
+        } else if (!driver->groupSwitch.recover(reports(0), true) && chance(30)) {
+            driver->groupSwitch.begin(m_options.ranks, 1, driver->term * 1000 + ++driver->versionCount, {});
         }
         if (driver->owner && chance(3)) {
-            driver->pausedUntil = m_step + pick(3 * m_options.leaseSteps);
-            driver->oneMore = chance(50);
+            driver->pausedUntil = m_step + randomBelow(3 * m_options.leaseSteps);
+            driver->actsAfterExpiry = chance(50);
         }
     }
 }
 
-void RankGroupSimulation::help()
+void RankGroupSimulation::addHelper()
 {
     auto helper = std::make_unique<Driver>();
     helper->owner = false;
-    if (helper->change.recover(reports(m_options.maxReportAge), false)) {
+    if (helper->groupSwitch.recover(reports(m_options.maxReportAge), false)) {
         m_drivers.insert(m_drivers.begin(), std::move(helper));
     }
 }
 
-/** A new owner once the last one has been silent for longer than its lease. */
-void RankGroupSimulation::replaceOwner()
+/** Adds a new owner once the last one has not renewed for longer than its lease. */
+void RankGroupSimulation::replaceExpiredOwner()
 {
-    if (m_step < m_drivers.back()->acted + m_options.leaseSteps + 10) {
+    if (m_step < m_drivers.back()->lastRenewal + m_options.leaseSteps + 10) {
         return;
     }
     auto next = std::make_unique<Driver>();
     next->term = ++m_term;
-    next->acted = m_step;
+    next->lastRenewal = m_step;
     m_drivers.push_back(std::move(next));
 }
 
-void RankGroupSimulation::calmDown()
+void RankGroupSimulation::runWithoutFaults()
 {
-    m_calm = true;
-    for (const LateOrder &late : m_late) {
-        execute(late.order);
-        remember();
+    m_faultFree = true;
+    for (const DelayedOrder &delayed : m_delayedOrders) {
+        execute(delayed.order);
+        recordReports();
     }
-    m_late.clear();
+    m_delayedOrders.clear();
     Driver last;
     for (unsigned i = 0; i < 400; ++i) {
         ++m_step;
-        remember();
-        if (last.change.phase() == SwitchPhase::Idle && !last.change.recover(reports(0), true) && canBegin()) {
+        recordReports();
+        if (last.groupSwitch.phase() == SwitchPhase::Idle && !last.groupSwitch.recover(reports(0), true) && canBeginPass()) {
             beginPass();
             continue;
         }
-        if (last.change.phase() != SwitchPhase::Idle) {
-            act(last);
+        if (last.groupSwitch.phase() != SwitchPhase::Idle) {
+            stepDriver(last);
         }
     }
-    if (!canBegin() && m_violation.empty()) {
-        m_violation = "the group stands still for ever before pass " + std::to_string(m_pass + 1);
+    if (!canBeginPass() && m_violation.empty()) {
+        m_violation = "the group never begins pass " + std::to_string(m_pass + 1);
     }
 }
 
@@ -277,25 +277,25 @@
 {
     while (m_step < m_options.steps && m_violation.empty()) {
         ++m_step;
-        std::erase_if(m_late, [&](const LateOrder &late) {
-            if (late.due > m_step) {
+        std::erase_if(m_delayedOrders, [&](const DelayedOrder &delayed) {
+            if (delayed.due > m_step) {
                 return false;
             }
-            execute(late.order);
+            execute(delayed.order);
             return true;
         });
         if (chance(25)) {
-            canBegin() ? beginPass() : void(++m_stalled);
+            canBeginPass() ? beginPass() : void(++m_stalledSteps);
         }
-        remember();
-        lead();
-        replaceOwner();
-        if (!canBegin() && chance(10)) {
-            help();
+        recordReports();
+        stepDrivers();
+        replaceExpiredOwner();
+        if (!canBeginPass() && chance(10)) {
+            addHelper();
         }
     }
     if (m_violation.empty()) {
-        calmDown();
+        runWithoutFaults();
     }
     return m_violation;
 }
--- a/testing/harness/rankgroupsimulation.h
+++ b/testing/harness/rankgroupsimulation.h
@@ -15,17 +15,18 @@
 struct RankGroupSimulationOptions {
     unsigned ranks = 3;
     unsigned steps = 400;
-    unsigned delayedPercent = 20; ///< of 100 orders: no answer, carried out later
-    unsigned lostReplyPercent = 10; ///< of 100 orders: carried out, no answer
-    unsigned maxReportAge = 8; ///< steps; each rank's report in a read has an age of its own
-    unsigned leaseSteps = 60; ///< an owner that is paused for longer is replaced
+    unsigned delayedPercent = 20; ///< percent of orders that get no answer and are executed later
+    unsigned lostReplyPercent = 10; ///< percent of the orders executed at once whose answer is lost
+    unsigned maxReportAge = 8; ///< in steps; the reports of one read differ in age
+    unsigned leaseSteps = 60; ///< an owner that is paused for more steps than this is replaced
     std::uint64_t seed = 1;
 };
 
 /**
- * A group of ranks as the platform's engines behave, with owners that are paused and
- * replaced, helpers that act on old reports, and orders that are lost or come late, all
- * by chance. The oracle: no pass begins with two maps, and once calm a group goes on.
+ * Randomized simulation of a rank group whose ranks behave like the platform's engines, with
+ * owners that are paused and replaced, helpers that act on stale reports, and orders that are
+ * lost or delayed. Checks that no pass begins with two maps, and that the group makes progress
+ * once the faults stop.
  */
 class RankGroupSimulation
 {
@@ -33,7 +34,7 @@
     explicit RankGroupSimulation(RankGroupSimulationOptions options);
     ~RankGroupSimulation();
 
-    /** Plays all steps and the calm after them. Empty if everything held, else what did not. */
+    /** Runs all steps, then a phase without faults. Returns the first violation, or an empty string. */
     std::string run();
     unsigned switches() const;
     unsigned stalledSteps() const;
@@ -41,34 +42,34 @@
 private:
     struct Rank;
     struct Driver;
-    struct LateOrder;
+    struct DelayedOrder;
 
     bool chance(unsigned percent);
-    unsigned pick(unsigned bound);
+    unsigned randomBelow(unsigned bound);
     OrderResult execute(const AddressedOrder &order);
     OrderResult send(const AddressedOrder &order);
     void beginPass();
-    bool canBegin() const;
+    bool canBeginPass() const;
     std::vector<RankReport> reports(unsigned age);
-    void remember();
-    void act(Driver &driver);
-    void lead();
-    void help();
-    void replaceOwner();
-    void calmDown();
+    void recordReports();
+    void stepDriver(Driver &driver);
+    void stepDrivers();
+    void addHelper();
+    void replaceExpiredOwner();
+    void runWithoutFaults();
 
     RankGroupSimulationOptions m_options;
     std::mt19937_64 m_random;
     std::vector<Rank> m_ranks;
-    std::vector<LateOrder> m_late;
+    std::vector<DelayedOrder> m_delayedOrders;
     std::deque<std::vector<RankReport>> m_history;
-    std::vector<std::unique_ptr<Driver>> m_drivers; ///< the last owner is the last
+    std::vector<std::unique_ptr<Driver>> m_drivers; ///< the present owner is the last element
     std::uint64_t m_pass = 10;
     std::uint64_t m_term = 1;
     unsigned m_step = 0;
-    unsigned m_switches = 0;
-    unsigned m_stalled = 0;
-    bool m_calm = false;
+    unsigned m_switchCount = 0;
+    unsigned m_stalledSteps = 0;
+    bool m_faultFree = false;
     std::string m_violation;
 };
 
--- a/testing/harness/twogroups.h
+++ b/testing/harness/twogroups.h
@@ -10,7 +10,7 @@
 namespace fulmarlink::testing
 {
 
-/** What a host knows of a pool with two rank groups, "north" (n0, n1) and "south" (s0, s1). */
+/** State of a host for one pool with two rank groups, "north" (n0, n1) and "south" (s0, s1). */
 class TwoGroups
 {
 public:
@@ -31,7 +31,7 @@
         }
     }
 
-    /** The streams of a group show such pauses; 120 ms are on time. */
+    /** Records stream events of @p group at this interval; the target interval is 120 ms. */
     void recordIntervals(const std::string &group, std::chrono::milliseconds interval)
     {
         PoolGate &gate = state.pool("p").gate(group);
@@ -41,7 +41,7 @@
         gate.recordAnswer(clock.now());
     }
 
-    /** A request is open at the runner. */
+    /** Adds an open request at the runner @p id. */
     void addOpenRequest(const std::string &id)
     {
         state.pool("p").gate(state.targets.groupOf(id)).recordWorkStart(clock.now());
@@ -53,7 +53,7 @@
         return admitToPool(state, "p", {.events = 20, .timeLeft = std::chrono::seconds(8)}, tried);
     }
 
-    /** Requests of @p count that go to @p group; each stays open. */
+    /** Admits @p count requests, which stay open, and returns how many of them went to @p group. */
     unsigned countAdmitted(const std::string &group, unsigned count)
     {
         unsigned sum = 0;
