--- a/fulmarlink/groupswitch.cpp
+++ b/fulmarlink/groupswitch.cpp
@@ -45,7 +45,7 @@
 {
     return !reports.empty() && std::ranges::all_of(reports, [&](const RankReport &report) {
         const RankReport &first = reports.front();
-        return report.open && report.epoch == first.epoch && report.map == first.map && report.armed == 0 && !report.heldPass;
+        return report.open && report.epoch == first.epoch && report.mapVersion == first.mapVersion && report.armedVersion == 0 && !report.heldPass;
     });
 }
 
@@ -68,10 +68,10 @@
         return report.heldPass.has_value();
     });
     const auto armed = std::ranges::find_if(reports, [](const RankReport &report) {
-        return report.armed != 0;
+        return report.armedVersion != 0;
     });
     const auto armedRanks = std::ranges::count_if(reports, [](const RankReport &report) {
-        return report.armed != 0;
+        return report.armedVersion != 0;
     });
     const bool isHeld = held != reports.end();
     if (!isHeld && (armedRanks == 0 || armedRanks == static_cast<std::ptrdiff_t>(reports.size()))) {
@@ -79,11 +79,11 @@
     }
     m_ranks.assign(reports.size(), Rank());
     m_epoch = reports.front().epoch;
-    m_version = armed != reports.end() ? armed->armed : reports.front().prepared;
+    m_version = armed != reports.end() ? armed->armedVersion : reports.front().preparedVersion;
     m_pass = isHeld ? *held->heldPass : armed->armedPass;
     m_holder = isHeld ? static_cast<unsigned>(held - reports.begin()) : 0;
     const bool prepared = m_version != 0 && std::ranges::all_of(reports, [&](const RankReport &report) {
-                              return report.prepared == m_version || report.armed == m_version || report.map == m_version;
+                              return report.preparedVersion == m_version || report.armedVersion == m_version || report.mapVersion == m_version;
                           });
     const bool ownerInactive = ownerGone || mutated(Mutation::LetGoBesideOwner);
     if (isHeld && !prepared && (!ownerInactive || armedRanks > 0)) {
@@ -200,14 +200,14 @@
     case SwitchPhase::Idle:
         break;
     case SwitchPhase::Prepare:
-        rank.done = report.prepared == m_version;
+        rank.done = report.preparedVersion == m_version;
         rank.awaitsReport = !rank.done && rank.accepted;
         break;
     case SwitchPhase::Hold:
         rank.done = report.heldPass == m_pass;
         break;
     case SwitchPhase::Arm:
-        rank.done = (report.armed == m_version && report.armedPass == m_pass) || report.map == m_version;
+        rank.done = (report.armedVersion == m_version && report.armedPass == m_pass) || report.mapVersion == m_version;
         break;
     case SwitchPhase::Release:
         rank.done = !report.heldPass;
@@ -224,10 +224,10 @@
                                return report.epoch == m_epoch;
                            });
     const bool otherSwitchActive = m_phase == SwitchPhase::Prepare && std::ranges::any_of(reports, [](const RankReport &report) {
-                                       return report.armed != 0 || report.heldPass;
+                                       return report.armedVersion != 0 || report.heldPass;
                                    });
     const bool superseded = std::ranges::any_of(reports, [&](const RankReport &report) {
-        return report.map > m_version && m_version != 0;
+        return report.mapVersion > m_version && m_version != 0;
     });
     if (!sameGroup || otherSwitchActive || superseded) {
         m_phase = SwitchPhase::Idle;
--- a/fulmarlink/rankorders.h
+++ b/fulmarlink/rankorders.h
@@ -23,9 +23,9 @@
     unsigned size = 0; ///< number of ranks in the group
     bool open = false; ///< the group runs passes
     std::uint64_t pass = 0; ///< the last pass that began
-    std::uint64_t map = 0; ///< version of the map in use
-    std::uint64_t prepared = 0; ///< version whose experts have been copied; 0: none
-    std::uint64_t armed = 0; ///< version that it will switch to at armedPass; 0: none
+    std::uint64_t mapVersion = 0; ///< of the map in use
+    std::uint64_t preparedVersion = 0; ///< of the map whose experts have been copied; 0: none
+    std::uint64_t armedVersion = 0; ///< of the map that it will switch to at armedPass; 0: none
     std::uint64_t armedPass = 0;
     std::optional<std::uint64_t> heldPass; ///< the pass that it holds
     double slowdown = 1; ///< ratio to the engine's cost model; over 1: slower than predicted
--- a/testing/harness/fakegroup.cpp
+++ b/testing/harness/fakegroup.cpp
@@ -92,15 +92,15 @@
 {
     ++m_pass;
     for (Rank &rank : m_ranks) {
-        if (rank.armed != 0 && rank.armedPass == m_pass) {
-            rank.map = rank.armed;
-            rank.armed = 0;
+        if (rank.armedVersion != 0 && rank.armedPass == m_pass) {
+            rank.mapVersion = rank.armedVersion;
+            rank.armedVersion = 0;
             m_map = m_nextMap;
         }
     }
-    switches += m_ranks.front().map != m_ranks.back().map || m_ranks.front().map == 0 ? 0 : 1;
+    switches += m_ranks.front().mapVersion != m_ranks.back().mapVersion || m_ranks.front().mapVersion == 0 ? 0 : 1;
     usedMixedMaps = usedMixedMaps || std::ranges::any_of(m_ranks, [&](const Rank &rank) {
-                        return rank.map != m_ranks.front().map;
+                        return rank.mapVersion != m_ranks.front().mapVersion;
                     });
     const double total = std::accumulate(m_demand.begin(), m_demand.end(), 0.0);
     for (Rank &rank : m_ranks) {
@@ -211,10 +211,10 @@
     read.report.size = m_options.ranks;
     read.report.open = true;
     read.report.pass = m_pass;
-    read.report.map = rank.map;
-    read.report.prepared = now() >= rank.preparedAt ? rank.prepared : 0;
+    read.report.mapVersion = rank.mapVersion;
+    read.report.preparedVersion = now() >= rank.preparedAt ? rank.preparedVersion : 0;
     read.report.slowdown = m_slowdowns[index];
-    read.report.armed = rank.armed;
+    read.report.armedVersion = rank.armedVersion;
     read.report.armedPass = rank.armedPass;
     read.report.heldPass = index == 0 ? m_heldPass : std::nullopt;
     reportReadsWhileHeld += m_heldPass ? 1 : 0;
@@ -234,7 +234,7 @@
 asio::awaitable<RankPlacementRead> FakeGroup::readRankPlacement(TargetInfo target)
 {
     RankPlacementRead read;
-    read.version = m_ranks.front().map;
+    read.version = m_ranks.front().mapVersion;
     read.experts = {m_map[rankOf(target)]};
     co_return read;
 }
@@ -242,11 +242,11 @@
 OrderResult FakeGroup::prepare(unsigned rank, const RankOrder &order)
 {
     Rank &state = m_ranks[rank];
-    if (order.version <= state.prepared || state.armed != 0) {
+    if (order.version <= state.preparedVersion || state.armedVersion != 0) {
         return OrderResult::Refused;
     }
     const bool isLastRank = rank + 1 == m_options.ranks;
-    state.prepared = order.version;
+    state.preparedVersion = order.version;
     state.preparedAt = now() + m_options.copyTime + (isLastRank ? m_options.lastRankCopyDelay : std::chrono::milliseconds(0));
     m_nextMap = order.map.front();
     return OrderResult::Accepted;
@@ -254,11 +254,11 @@
 
 OrderResult FakeGroup::arm(Rank &rank, const RankOrder &order) const
 {
-    const bool isPrepared = rank.prepared == order.version && now() >= rank.preparedAt;
+    const bool isPrepared = rank.preparedVersion == order.version && now() >= rank.preparedAt;
     if (!isPrepared || order.pass <= m_pass) {
         return OrderResult::Refused;
     }
-    rank.armed = order.version;
+    rank.armedVersion = order.version;
     rank.armedPass = order.pass;
     return OrderResult::Accepted;
 }
--- a/testing/harness/fakegroup.h
+++ b/testing/harness/fakegroup.h
@@ -69,10 +69,10 @@
 
 private:
     struct Rank {
-        std::uint64_t map = 0;
-        std::uint64_t prepared = 0;
+        std::uint64_t mapVersion = 0;
+        std::uint64_t preparedVersion = 0;
         TimePoint preparedAt{};
-        std::uint64_t armed = 0;
+        std::uint64_t armedVersion = 0;
         std::uint64_t armedPass = 0;
         std::vector<std::uint64_t> counts;
     };
--- a/testing/harness/rankgroupsimulation.cpp
+++ b/testing/harness/rankgroupsimulation.cpp
@@ -6,11 +6,11 @@
 {
 
 struct RankGroupSimulation::Rank {
-    std::uint64_t map = 0;
-    std::uint64_t prepared = 0;
+    std::uint64_t mapVersion = 0;
+    std::uint64_t preparedVersion = 0;
     std::uint64_t highestVersion = 0; ///< highest version that it has prepared
     unsigned copyDoneStep = 0; ///< step at which the copy of the prepared map is complete
-    std::uint64_t armed = 0;
+    std::uint64_t armedVersion = 0;
     std::uint64_t armedPass = 0;
     std::optional<std::uint64_t> heldPass;
 };
@@ -75,15 +75,15 @@
 {
     ++m_pass;
     for (Rank &rank : m_ranks) {
-        if (rank.armed == 0 || rank.armedPass != m_pass) {
+        if (rank.armedVersion == 0 || rank.armedPass != m_pass) {
             continue;
         }
-        rank.map = rank.armed;
-        rank.armed = 0;
-        rank.prepared = 0;
+        rank.mapVersion = rank.armedVersion;
+        rank.armedVersion = 0;
+        rank.preparedVersion = 0;
     }
     const bool sameMap = std::ranges::all_of(m_ranks, [&](const Rank &rank) {
-        return rank.map == m_ranks.front().map;
+        return rank.mapVersion == m_ranks.front().mapVersion;
     });
     if (!sameMap && m_violation.empty()) {
         m_violation = "pass " + std::to_string(m_pass) + " began with two maps at step " + std::to_string(m_step);
@@ -97,17 +97,17 @@
     bool accepted = false;
     switch (order.kind) {
     case RankOrderKind::Prepare:
-        accepted = rank.armed == 0 && (order.version > rank.highestVersion || order.version == rank.prepared);
-        if (accepted && order.version != rank.prepared) {
-            rank.prepared = order.version;
+        accepted = rank.armedVersion == 0 && (order.version > rank.highestVersion || order.version == rank.preparedVersion);
+        if (accepted && order.version != rank.preparedVersion) {
+            rank.preparedVersion = order.version;
             rank.highestVersion = order.version;
             rank.copyDoneStep = m_step + randomBelow(6);
         }
         break;
     case RankOrderKind::Arm:
-        accepted = order.pass > m_pass && rank.prepared == order.version && m_step >= rank.copyDoneStep;
+        accepted = order.pass > m_pass && rank.preparedVersion == order.version && m_step >= rank.copyDoneStep;
         if (accepted) {
-            rank.armed = order.version;
+            rank.armedVersion = order.version;
             rank.armedPass = order.pass;
         }
         break;
@@ -148,9 +148,9 @@
         report.size = m_options.ranks;
         report.rank = static_cast<unsigned>(now.size());
         report.pass = m_pass;
-        report.map = rank.map;
-        report.prepared = m_step >= rank.copyDoneStep ? rank.prepared : 0;
-        report.armed = rank.armed;
+        report.mapVersion = rank.mapVersion;
+        report.preparedVersion = m_step >= rank.copyDoneStep ? rank.preparedVersion : 0;
+        report.armedVersion = rank.armedVersion;
         report.armedPass = rank.armedPass;
         report.heldPass = rank.heldPass;
         now.push_back(report);
--- a/testing/platformcodec_test.cpp
+++ b/testing/platformcodec_test.cpp
@@ -228,9 +228,9 @@
     EXPECT_EQ(report.rank, 3U);
     EXPECT_EQ(report.size, 16U);
     EXPECT_TRUE(report.open);
-    EXPECT_EQ(report.map, 49153U);
-    EXPECT_EQ(report.prepared, 49154U);
-    EXPECT_EQ(report.armed, 49154U);
+    EXPECT_EQ(report.mapVersion, 49153U);
+    EXPECT_EQ(report.preparedVersion, 49154U);
+    EXPECT_EQ(report.armedVersion, 49154U);
     EXPECT_EQ(report.armedPass, 60U);
     EXPECT_EQ(report.heldPass, 60U);
     decodeReport(json::parse(R"({"stage":"unified"})"), error);
