--- a/testing/platformcodec_test.cpp
+++ b/testing/platformcodec_test.cpp
@@ -1,4 +1,5 @@
-// Translation between the platform's words and the product's types.
+// Tests of the conversion between the platform's JSON objects and headers and the product's types.
+// Malformed input from other writers must be rejected with its reason rather than misread.
 
 #include <boost/json/parse.hpp>
 #include <boost/json/serialize.hpp>
@@ -19,7 +20,7 @@
 namespace http = boost::beast::http;
 namespace json = boost::json;
 
-std::string problemOf(const std::string &text)
+std::string configurationProblem(const std::string &text)
 {
     std::string problem;
     return decodeConfiguration(json::parse(text), problem) ? "" : problem;
@@ -27,7 +28,7 @@
 
 } // namespace
 
-TEST(PlatformCodec, ARouteIsDecodedWhole)
+TEST(PlatformCodec, DecodesRoutesServicesCustomersAndLimits)
 {
     std::string problem;
     const auto configuration = decodeConfiguration(json::parse(R"({"version":7,"routes":[{"name":"r","host":"h","path_prefix":"/p/","kind":"streaming",
@@ -50,25 +51,27 @@
     EXPECT_EQ(configuration->limits.idleTimeout.count(), 1000);
 }
 
-TEST(PlatformCodec, AMalformedConfigurationIsRefusedWithItsReason)
+TEST(PlatformCodec, RejectsMalformedConfigurationWithReason)
 {
-    EXPECT_NE(problemOf(R"({"routes":[]})").find("version"), std::string::npos);
-    EXPECT_NE(problemOf(R"({"version":1,"routes":[{"name":"r","host":"h","path_prefix":"/","kind":"odd","service":"a"}]})").find("odd"), std::string::npos);
-    EXPECT_NE(problemOf(R"({"version":1,"routes":[{"name":"r","host":"h","path_prefix":"/","kind":"idempotent"}]})").find("no service"), std::string::npos);
-    EXPECT_NE(problemOf(R"({"version":1,"routes":"all"})").find("list"), std::string::npos);
+    EXPECT_NE(configurationProblem(R"({"routes":[]})").find("version"), std::string::npos);
+    EXPECT_NE(configurationProblem(R"({"version":1,"routes":[{"name":"r","host":"h","path_prefix":"/","kind":"odd","service":"a"}]})").find("odd"),
+              std::string::npos);
+    EXPECT_NE(configurationProblem(R"({"version":1,"routes":[{"name":"r","host":"h","path_prefix":"/","kind":"idempotent"}]})").find("no service"),
+              std::string::npos);
+    EXPECT_NE(configurationProblem(R"({"version":1,"routes":"all"})").find("list"), std::string::npos);
     const std::string route = R"({"name":"r","host":"h","path_prefix":"/","kind":"idempotent","service":"a"})";
-    EXPECT_NE(problemOf(R"({"version":1,"routes":[)" + route + "," + route + "]}").find("twice"), std::string::npos);
-    EXPECT_NE(problemOf(R"({"version":-1})").find("version"), std::string::npos);
-    EXPECT_NE(problemOf("[]"), "");
+    EXPECT_NE(configurationProblem(R"({"version":1,"routes":[)" + route + "," + route + "]}").find("twice"), std::string::npos);
+    EXPECT_NE(configurationProblem(R"({"version":-1})").find("version"), std::string::npos);
+    EXPECT_NE(configurationProblem("[]"), "");
 }
 
-TEST(PlatformCodec, ARunnersEntryThatIsMalformedIsLeftOut)
+TEST(PlatformCodec, RejectsMalformedRunnerEntry)
 {
-    const json::object sound = json::parse(R"({"service":"s","addr":"10.0.0.9:8080","zone":"z","version":"v1","slots":12,"state":"ready","cold_left_ms":0,
+    const json::object validEntry = json::parse(R"({"service":"s","addr":"10.0.0.9:8080","zone":"z","version":"v1","slots":12,"state":"ready","cold_left_ms":0,
         "stage":"unified","models":[],"call_seq":4})")
-                                   .as_object();
-    const auto problemWith = [&sound](std::string_view field, const json::value &value) {
-        json::object entry = sound;
+                                        .as_object();
+    const auto problemWith = [&validEntry](std::string_view field, const json::value &value) {
+        json::object entry = validEntry;
         entry[json::string_view(field.data(), field.size())] = value;
         std::string problem;
         return decodeTarget("i", entry, problem) ? std::string() : problem;
@@ -77,13 +80,13 @@
     EXPECT_EQ(problemWith("born", 1'790'000'000'000), "");
     EXPECT_EQ(problemWith("of a later version", 1), "");
     std::string problem;
-    json::object leaving = sound;
+    json::object leaving = validEntry;
     leaving["state"] = "draining";
     EXPECT_TRUE(decodeTarget("i", leaving, problem)->leaving);
     for (const char *field : {"service", "addr", "zone", "version", "slots", "state", "cold_left_ms", "call_seq"}) {
         EXPECT_NE(problemWith(field, nullptr).find(field), std::string::npos);
         EXPECT_NE(problemWith(field, json::object{}).find(field), std::string::npos);
-        json::object entry = sound;
+        json::object entry = validEntry;
         entry.erase(field);
         EXPECT_FALSE(decodeTarget("i", entry, problem)) << field;
     }
@@ -98,7 +101,7 @@
     EXPECT_FALSE(decodeTarget("i", json::parse("null"), problem));
 }
 
-TEST(PlatformCodec, WhatConcernsOneConnectionAndTheKeyStayBehind)
+TEST(PlatformCodec, ForwardedRequestOmitsHopByHopHeadersAndCredentials)
 {
     HttpRequest request(http::verb::post, "/p/x", 11);
     request.set(http::field::host, "h.example:8080");
@@ -110,11 +113,11 @@
     request.set("Deadline-Ms", "1500");
     request.set("Token-Counts", "1460, 80");
     const PlatformProtocol protocol;
-    const CallerRequest facts = protocol.readRequest(request);
-    EXPECT_EQ(facts.host, "h.example");
-    EXPECT_EQ(facts.apiKey, "abc");
-    EXPECT_EQ(facts.promptTokens, 1460U);
-    EXPECT_EQ(facts.maxAnswerTokens, 80U);
+    const CallerRequest parsed = protocol.readRequest(request);
+    EXPECT_EQ(parsed.host, "h.example");
+    EXPECT_EQ(parsed.apiKey, "abc");
+    EXPECT_EQ(parsed.promptTokens, 1460U);
+    EXPECT_EQ(parsed.maxAnswerTokens, 80U);
     RunnerRequest extra;
     extra.targetId = "i-1";
     extra.timeLeft = std::chrono::milliseconds(700);
@@ -127,7 +130,7 @@
     EXPECT_EQ(request["Expect-Instance"], "i-1");
 }
 
-TEST(PlatformCodec, OnlyTheRunnersOwnWordSaysNotRun)
+TEST(PlatformCodec, NotRunRequiresMisdirectedStatusOrNotExecutedHeader)
 {
     const PlatformProtocol protocol;
     http::fields head;
@@ -142,7 +145,7 @@
     EXPECT_EQ(answer.keepAlive->count(), 5);
 }
 
-TEST(PlatformCodec, ARunnersLimitIsOneDecimalNumber)
+TEST(PlatformCodec, RequestLimitIsASingleDecimalNumber)
 {
     const PlatformProtocol protocol;
     const auto read = [&protocol](const std::vector<std::string> &values) {
@@ -157,15 +160,15 @@
     EXPECT_EQ(read({"0"}).requestLimit, 0.0);
     EXPECT_EQ(read({" 1.25 "}).requestLimit, 1.25);
     EXPECT_EQ(read({"1e9"}).requestLimit, 1e9);
-    for (const char *bad : {"", "-1", "nan", "inf", "1e999", "3 a second", "1,5", "0x10", "+2"}) {
-        EXPECT_FALSE(read({bad}).requestLimit) << bad;
-        EXPECT_NE(read({bad}).malformedLimit, "") << bad;
+    for (const char *malformed : {"", "-1", "nan", "inf", "1e999", "3 a second", "1,5", "0x10", "+2"}) {
+        EXPECT_FALSE(read({malformed}).requestLimit) << malformed;
+        EXPECT_NE(read({malformed}).malformedLimit, "") << malformed;
     }
     EXPECT_FALSE(read({"1", "2"}).requestLimit);
     EXPECT_NE(read({"1", "2"}).malformedLimit, "");
 }
 
-TEST(PlatformCodec, ARunnersBackoffIsOneDecimalNumberOfSecondsInARefusal)
+TEST(PlatformCodec, BackoffIsASingleNumberOfSecondsInARefusal)
 {
     const PlatformProtocol protocol;
     const auto read = [&protocol](unsigned status, const std::vector<std::string> &values) {
@@ -182,16 +185,16 @@
     EXPECT_EQ(read(503, {"0"}).backoff, Duration(0));
     EXPECT_EQ(read(503, {"1e300"}).backoff, Duration(RunnerAnswer::kMaxBackoff));
     EXPECT_FALSE(read(200, {"3"}).backoff);
-    EXPECT_FALSE(read(421, {"3"}).backoff) << "another runner has the address";
-    for (const char *bad : {"", "-1", "nan", "inf", "soon", "3 s", "Fri, 31 Dec 1999 23:59:59 GMT"}) {
-        EXPECT_FALSE(read(503, {bad}).backoff) << bad;
-        EXPECT_NE(read(503, {bad}).malformedBackoff, "") << bad;
+    EXPECT_FALSE(read(421, {"3"}).backoff) << "another runner answers at this address";
+    for (const char *malformed : {"", "-1", "nan", "inf", "soon", "3 s", "Fri, 31 Dec 1999 23:59:59 GMT"}) {
+        EXPECT_FALSE(read(503, {malformed}).backoff) << malformed;
+        EXPECT_NE(read(503, {malformed}).malformedBackoff, "") << malformed;
     }
     EXPECT_FALSE(read(503, {"1", "2"}).backoff);
     EXPECT_NE(read(503, {"1", "2"}).malformedBackoff, "");
 }
 
-TEST(PlatformCodec, ARunnerIsLeavingOnlyIfItSaysOne)
+TEST(PlatformCodec, RunnerIsLeavingOnlyIfAHeaderValueIsOne)
 {
     const PlatformProtocol protocol;
     const auto leaving = [&protocol](const std::vector<std::string> &values) {
@@ -204,20 +207,20 @@
     EXPECT_FALSE(leaving({}));
     EXPECT_TRUE(leaving({"1"}));
     EXPECT_TRUE(leaving({" 1 "}));
-    EXPECT_TRUE(leaving({"0", "1"})) << "work that it does not want costs more than work that it could have had";
+    EXPECT_TRUE(leaving({"0", "1"})) << "sending to a leaving runner costs more than sparing one that stays";
     for (const char *other : {"0", "", "no", "10", "true"}) {
         EXPECT_FALSE(leaving({other})) << other;
     }
 }
 
-TEST(PlatformCodec, AnAnswerOfAnotherRunnerSpeaksForNone)
+TEST(PlatformCodec, MisdirectedAnswerDoesNotSpeakForTarget)
 {
     const PlatformProtocol protocol;
     EXPECT_FALSE(protocol.readAnswer(421, {}).speaksForTarget);
     EXPECT_TRUE(protocol.readAnswer(503, {}).speaksForTarget);
 }
 
-TEST(PlatformCodec, ARanksReport)
+TEST(PlatformCodec, DecodesRankReport)
 {
     std::error_code error;
     const RankReport report
@@ -237,14 +240,14 @@
     EXPECT_EQ(error, ResultCode::ObjectNotFound);
 }
 
-TEST(PlatformCodec, CountsOfAllSetsComeInOneList)
+TEST(PlatformCodec, SplitsExpertCountsByLayerSet)
 {
     const ExpertCountsRead read = decodeCounts(json::parse(R"({"step":812,"epoch":1,"counts":[1,2,3,4,5,6]})"), 2);
     EXPECT_EQ(read.counts, (std::vector<std::vector<std::uint64_t>>{{1, 2, 3}, {4, 5, 6}}));
     EXPECT_TRUE(decodeCounts(json::parse("{}"), 2).counts.empty());
 }
 
-TEST(PlatformCodec, OrdersNameTheirEpoch)
+TEST(PlatformCodec, EncodesOrderWithItsEpoch)
 {
     RankOrder order;
     order.kind = RankOrderKind::Arm;
