--- a/fulmarlink/groupswitch.h
+++ b/fulmarlink/groupswitch.h
@@ -62,7 +62,7 @@
      */
     bool recover(const std::vector<RankReport> &reports, bool ownerGone);
     /**
-     * Leaves the phase Prepare on the assumption that all ranks have finished copying. A rank
+     * Leaves the phase Prepare, if every rank has accepted its order, on the assumption that all have finished copying. A rank
      * refuses arm orders until its copy is complete, with the pass held meanwhile.
      */
     void assumePrepared();
@@ -75,7 +75,7 @@
     void observe(const std::vector<RankReport> &reports);
 
     SwitchPhase phase() const;
-    /** True if no order is pending and only new reports can advance the switch. */
+    /** True if no order is pending and only new reports, or assumePrepared(), can advance the switch. */
     bool needsReports() const;
     /** True if a pass to hold must be chosen with holdAt(), at first or because the last one had already begun. */
     bool needsPass() const;
