--- a/bench/capacity_bench.cpp
+++ b/bench/capacity_bench.cpp
@@ -23,8 +23,8 @@
 #include "fulmarlink/keyledger.h"
 #include "fulmarlink/loadforecast.h"
 #include "fulmarlink/log.h"
-#include "fulmarlink/mapcoordinator.h"
 #include "fulmarlink/mapplanner.h"
+#include "fulmarlink/mapswitchcoordinator.h"
 #include "fulmarlink/retrybudget.h"
 #include "fulmarlink/ruleset.h"
 #include "fulmarlink/runnerdirectory.h"
@@ -610,7 +610,7 @@
     slope("S17", "a plan from a cold map, 64 ranks x 256 experts x 60 layers", median(times), "ms");
     CoordinatorOptions options;
     options.ranks = 64;
-    MapCoordinator coordinator(options);
+    MapSwitchCoordinator coordinator(options);
     coordinator.takeMessages();
     wire::MapStageT stage;
     stage.assignment.resize(64 * 5 * 2); // a typical change: two layers
--- a/fulmarlink/mapcoordinator.cpp
+++ b/fulmarlink/mapswitchcoordinator.cpp
@@ -5,7 +5,7 @@
 // older attempt is decided: committed if any rank has committed or all are armed, else
 // aborted, and the coordinator tells everyone.
 
-#include "fulmarlink/mapcoordinator.h"
+#include "fulmarlink/mapswitchcoordinator.h"
 
 #include <algorithm>
 #include <boost/mpl/vector/vector20.hpp>
@@ -85,11 +85,11 @@
 
 } // namespace
 
-class MapCoordinator::Machine final : public PhaseMachine<Definition, CoordinatorPhase>
+class MapSwitchCoordinator::Machine final : public PhaseMachine<Definition, CoordinatorPhase>
 {
 };
 
-MapCoordinator::MapCoordinator(CoordinatorOptions options)
+MapSwitchCoordinator::MapSwitchCoordinator(CoordinatorOptions options)
     : m_options(options)
     , m_machine(std::make_unique<Machine>())
     , m_answered(options.ranks, false)
@@ -98,49 +98,49 @@
     resend();
 }
 
-MapCoordinator::~MapCoordinator() = default;
+MapSwitchCoordinator::~MapSwitchCoordinator() = default;
 
-MapCoordinator::MapCoordinator(const MapCoordinator &other) = default;
-MapCoordinator &MapCoordinator::operator=(const MapCoordinator &other) = default;
+MapSwitchCoordinator::MapSwitchCoordinator(const MapSwitchCoordinator &other) = default;
+MapSwitchCoordinator &MapSwitchCoordinator::operator=(const MapSwitchCoordinator &other) = default;
 
-MapVersion MapCoordinator::start(TimePoint now, std::vector<std::uint16_t> assignment)
+MapVersion MapSwitchCoordinator::start(TimePoint now, std::vector<std::uint16_t> assignment)
 {
     if (phase() != CoordinatorPhase::Idle) {
         return 0;
     }
     const MapVersion first = m_options.generation * kVersionsPerGeneration;
-    m_attempt = std::max(first, m_attempt) + 1;
+    m_attemptedVersion = std::max(first, m_attemptedVersion) + 1;
     m_assignment = std::move(assignment);
     m_answered.assign(m_options.ranks, false);
-    m_slowest = 0;
+    m_highestStep = 0;
     m_lastSend = now;
     m_machine->process(Start{});
-    toAll(stageMessage());
-    return m_attempt;
+    sendToAll(stageMessage());
+    return m_attemptedVersion;
 }
 
-Message MapCoordinator::stageMessage() const
+Message MapSwitchCoordinator::stageMessage() const
 {
     wire::MapStageT stage;
     stage.group = m_options.group;
     stage.generation = m_options.generation;
-    stage.version = m_attempt;
-    stage.base = m_version;
+    stage.version = m_attemptedVersion;
+    stage.base = m_currentVersion;
     stage.assignment = m_assignment;
     return stage;
 }
 
-void MapCoordinator::receive(TimePoint now, const Message &message)
+void MapSwitchCoordinator::receive(TimePoint now, const Message &message)
 {
     std::visit(Overloaded{
                    [&](const wire::MapStagedT &staged) {
-                       onStaged(now, staged);
+                       handleStaged(now, staged);
                    },
                    [&](const wire::MapArmedT &armed) {
-                       onArmed(armed);
+                       handleArmed(armed);
                    },
                    [&](const wire::MapTellT &told) {
-                       onTell(now, told);
+                       handleTell(now, told);
                    },
                    [](const auto & /*other*/) {
                    },
@@ -148,48 +148,48 @@
                message);
 }
 
-void MapCoordinator::onStaged(TimePoint /*now*/, const wire::MapStagedT &staged)
+void MapSwitchCoordinator::handleStaged(TimePoint /*now*/, const wire::MapStagedT &staged)
 {
     if (staged.generation > m_options.generation) {
         m_machine->process(Newer{});
         return;
     }
-    if (phase() != CoordinatorPhase::Staging || staged.version != m_attempt || staged.rank >= m_options.ranks) {
+    if (phase() != CoordinatorPhase::Staging || staged.version != m_attemptedVersion || staged.rank >= m_options.ranks) {
         return;
     }
     if (staged.refused) {
         // Nothing was armed and nothing will be: free to drop it.
-        abortAll(m_attempt);
+        abortAll(m_attemptedVersion);
         m_machine->process(Refused{});
         return;
     }
     m_answered[staged.rank] = true;
-    m_slowest = std::max(m_slowest, staged.step);
+    m_highestStep = std::max(m_highestStep, staged.step);
     if (allAnswered()) {
         beginArming();
     }
 }
 
-void MapCoordinator::beginArming()
+void MapSwitchCoordinator::beginArming()
 {
     m_machine->process(AllStaged{});
     m_answered.assign(m_options.ranks, false);
-    m_step = m_slowest + m_options.stepMargin;
+    m_switchStep = m_highestStep + m_options.stepMargin;
     wire::MapArmT arm;
     arm.group = m_options.group;
     arm.generation = m_options.generation;
-    arm.version = m_attempt;
-    arm.step = m_step;
-    toAll(arm);
+    arm.version = m_attemptedVersion;
+    arm.step = m_switchStep;
+    sendToAll(arm);
 }
 
-void MapCoordinator::onArmed(const wire::MapArmedT &armed)
+void MapSwitchCoordinator::handleArmed(const wire::MapArmedT &armed)
 {
-    if (phase() != CoordinatorPhase::Arming || armed.version != m_attempt || armed.rank >= m_options.ranks) {
+    if (phase() != CoordinatorPhase::Arming || armed.version != m_attemptedVersion || armed.rank >= m_options.ranks) {
         return;
     }
     if (armed.refused) {
-        abortAll(m_attempt);
+        abortAll(m_attemptedVersion);
         m_machine->process(Refused{});
         return;
     }
@@ -199,19 +199,19 @@
     }
 }
 
-void MapCoordinator::commitAll()
+void MapSwitchCoordinator::commitAll()
 {
     m_machine->process(AllArmed{});
-    m_version = m_attempt;
+    m_currentVersion = m_attemptedVersion;
     m_answered.assign(m_options.ranks, false);
     wire::MapCommitT committed;
     committed.group = m_options.group;
-    committed.version = m_attempt;
-    committed.step = m_step;
-    toAll(committed);
+    committed.version = m_attemptedVersion;
+    committed.step = m_switchStep;
+    sendToAll(committed);
 }
 
-void MapCoordinator::onTell(TimePoint /*now*/, const wire::MapTellT &told)
+void MapSwitchCoordinator::handleTell(TimePoint /*now*/, const wire::MapTellT &told)
 {
     if (told.generation > m_options.generation) {
         m_machine->process(Newer{});
@@ -220,14 +220,14 @@
     if (told.rank >= m_options.ranks) {
         return;
     }
-    if (phase() == CoordinatorPhase::Committing && (told.version == m_attempt || told.next == m_attempt)) {
+    if (phase() == CoordinatorPhase::Committing && (told.version == m_attemptedVersion || told.next == m_attemptedVersion)) {
         m_answered[told.rank] = true;
         if (allAnswered()) {
             m_machine->process(Done{});
         }
     }
-    if (phase() == CoordinatorPhase::Arming && told.vetoed >= m_attempt && told.armed != m_attempt && !told.lost) {
-        abortAll(m_attempt);
+    if (phase() == CoordinatorPhase::Arming && told.vetoed >= m_attemptedVersion && told.armed != m_attemptedVersion && !told.lost) {
+        abortAll(m_attemptedVersion);
         m_machine->process(Refused{});
     }
     if (phase() == CoordinatorPhase::Recovering && m_forming && told.epoch == m_options.generation) {
@@ -245,7 +245,7 @@
     }
 }
 
-void MapCoordinator::decideRecovery()
+void MapSwitchCoordinator::decideRecovery()
 {
     MapVersion armed = 0;
     MapVersion committed = 0;
@@ -255,7 +255,7 @@
         epoch = std::max(epoch, told.epoch);
     }
     for (const wire::MapTellT &told : m_told) {
-        m_slowest = std::max(m_slowest, told.step);
+        m_highestStep = std::max(m_highestStep, told.step);
         lost = lost || told.lost || told.epoch != epoch;
         if (told.lost || told.epoch != epoch) {
             continue;
@@ -263,7 +263,7 @@
         armed = std::max(armed, told.next != 0 ? MapVersion(0) : told.armed);
         committed = std::max({committed, told.version, told.next});
     }
-    m_version = committed;
+    m_currentVersion = committed;
     if (lost) {
         // A rank without its engine has kept the group from stepping: any map will do, if it is one.
         // Not before all have said that they are in it may anything else begin: a late order to
@@ -279,48 +279,48 @@
         return told.armed == armed;
     });
     if (armed > committed && (allArmed || mutated(Mutation::CommitUnarmed))) {
-        m_version = armed;
+        m_currentVersion = armed;
         wire::MapCommitT message;
         message.group = m_options.group;
         message.version = armed;
-        toAll(message);
+        sendToAll(message);
     } else if (committed != 0 && armed == committed) {
         wire::MapCommitT message;
         message.group = m_options.group;
         message.version = committed;
-        toAll(message);
+        sendToAll(message);
     } else if (armed != 0 && !allArmed) {
         abortAll(armed);
     }
     m_machine->process(Recovered{});
 }
 
-void MapCoordinator::abortAll(MapVersion version)
+void MapSwitchCoordinator::abortAll(MapVersion version)
 {
     wire::MapAbortT aborted;
     aborted.group = m_options.group;
     aborted.version = version;
-    toAll(aborted);
+    sendToAll(aborted);
 }
 
-void MapCoordinator::sendForm(std::uint32_t rank)
+void MapSwitchCoordinator::sendForm(std::uint32_t rank)
 {
     wire::MapFormT form;
     form.group = m_options.group;
     form.generation = m_options.generation;
-    form.version = m_version;
-    form.step = m_slowest + 1;
-    m_messages.push_back({MapMessage::To::Rank, rank, std::move(form)});
+    form.version = m_currentVersion;
+    form.step = m_highestStep + 1;
+    m_messages.push_back({MapMessage::Destination::Rank, rank, std::move(form)});
 }
 
-void MapCoordinator::tick(TimePoint now)
+void MapSwitchCoordinator::tick(TimePoint now)
 {
-    if (now < m_lastSend + m_options.resendAfter) {
+    if (now < m_lastSend + m_options.resendInterval) {
         return;
     }
     m_lastSend = now;
     if (mutated(Mutation::AbortArmed) && phase() == CoordinatorPhase::Arming) {
-        abortAll(m_attempt);
+        abortAll(m_attemptedVersion);
         m_machine->process(Refused{});
         return;
     }
@@ -328,7 +328,7 @@
 }
 
 /** Asks again whoever has not answered: a message may have been lost. */
-void MapCoordinator::resend()
+void MapSwitchCoordinator::resend()
 {
     const CoordinatorPhase current = phase();
     if (current == CoordinatorPhase::Idle || current == CoordinatorPhase::Fenced) {
@@ -339,7 +339,7 @@
             continue;
         }
         if (current == CoordinatorPhase::Staging) {
-            m_messages.push_back({MapMessage::To::Rank, rank, stageMessage()});
+            m_messages.push_back({MapMessage::Destination::Rank, rank, stageMessage()});
             continue;
         }
         if (m_forming) {
@@ -350,57 +350,57 @@
         if (current == CoordinatorPhase::Committing) {
             wire::MapCommitT committed;
             committed.group = m_options.group;
-            committed.version = m_attempt;
-            committed.step = m_step;
-            m_messages.push_back({MapMessage::To::Rank, rank, committed});
+            committed.version = m_attemptedVersion;
+            committed.step = m_switchStep;
+            m_messages.push_back({MapMessage::Destination::Rank, rank, committed});
         }
         wire::MapAskT ask;
         ask.group = m_options.group;
         ask.generation = m_options.generation;
-        ask.version = current == CoordinatorPhase::Recovering ? 0 : m_attempt;
+        ask.version = current == CoordinatorPhase::Recovering ? 0 : m_attemptedVersion;
         ask.rank = kCoordinatorRank;
-        m_messages.push_back({MapMessage::To::Rank, rank, ask});
+        m_messages.push_back({MapMessage::Destination::Rank, rank, ask});
     }
 }
 
-void MapCoordinator::toAll(const Message &message)
+void MapSwitchCoordinator::sendToAll(const Message &message)
 {
     for (std::uint32_t rank = 0; rank < m_options.ranks; ++rank) {
-        m_messages.push_back({MapMessage::To::Rank, rank, message});
+        m_messages.push_back({MapMessage::Destination::Rank, rank, message});
     }
 }
 
-bool MapCoordinator::allAnswered() const
+bool MapSwitchCoordinator::allAnswered() const
 {
     return std::ranges::all_of(m_answered, [](bool answered) {
         return answered;
     });
 }
 
-CoordinatorPhase MapCoordinator::phase() const
+CoordinatorPhase MapSwitchCoordinator::phase() const
 {
     return m_machine->phase();
 }
 
-MapVersion MapCoordinator::version() const
+MapVersion MapSwitchCoordinator::currentVersion() const
 {
-    return m_version;
+    return m_currentVersion;
 }
 
-MapVersion MapCoordinator::attempt() const
+MapVersion MapSwitchCoordinator::attemptedVersion() const
 {
-    return m_attempt;
+    return m_attemptedVersion;
 }
 
-std::vector<MapMessage> MapCoordinator::takeMessages()
+std::vector<MapMessage> MapSwitchCoordinator::takeMessages()
 {
     return std::exchange(m_messages, {});
 }
 
-std::string MapCoordinator::fingerprint() const
+std::string MapSwitchCoordinator::fingerprint() const
 {
-    std::string text = std::to_string(static_cast<int>(phase())) + ',' + std::to_string(m_version) + ',' + std::to_string(m_attempt) + ','
-                       + std::to_string(m_step) + ',' + std::to_string(m_slowest) + (m_forming ? 'f' : ',');
+    std::string text = std::to_string(static_cast<int>(phase())) + ',' + std::to_string(m_currentVersion) + ',' + std::to_string(m_attemptedVersion) + ','
+                       + std::to_string(m_switchStep) + ',' + std::to_string(m_highestStep) + (m_forming ? 'f' : ',');
     for (std::uint32_t rank = 0; rank < m_options.ranks; ++rank) {
         const wire::MapTellT &told = m_told[rank];
         text += std::to_string(m_answered[rank] ? 1 : 0) + ':' + std::to_string(told.version) + ':' + std::to_string(told.armed) + ':'
--- a/fulmarlink/mapcoordinator.h
+++ b/fulmarlink/mapswitchcoordinator.h
@@ -6,7 +6,7 @@
 
 #include "fulmarlink/clock.h"
 #include "fulmarlink/cloned.h"
-#include "fulmarlink/maprank.h"
+#include "fulmarlink/mapswitchparticipant.h"
 
 namespace fulmarlink
 {
@@ -26,7 +26,7 @@
     std::uint64_t generation = 1; ///< won by a conditional update of the group's object
     std::uint32_t ranks = 1;
     std::uint64_t stepMargin = 2; ///< steps between the slowest rank and the switch
-    Duration resendAfter = std::chrono::milliseconds(50);
+    Duration resendInterval = std::chrono::milliseconds(50);
 };
 
 /**
@@ -40,13 +40,13 @@
  * Contract: it orders a commit only after every rank has said "armed", and an abort
  * after that only on a rank's refusal. Copyable; pure; not thread-safe.
  */
-class MapCoordinator
+class MapSwitchCoordinator
 {
 public:
-    explicit MapCoordinator(CoordinatorOptions options);
-    ~MapCoordinator();
-    MapCoordinator(const MapCoordinator &other);
-    MapCoordinator &operator=(const MapCoordinator &other);
+    explicit MapSwitchCoordinator(CoordinatorOptions options);
+    ~MapSwitchCoordinator();
+    MapSwitchCoordinator(const MapSwitchCoordinator &other);
+    MapSwitchCoordinator &operator=(const MapSwitchCoordinator &other);
 
     /** Begins to switch to a new map; gives its version, or 0 if not Idle. */
     MapVersion start(TimePoint now, std::vector<std::uint16_t> assignment);
@@ -55,8 +55,8 @@
 
     CoordinatorPhase phase() const;
     /** The map that all ranks use, as far as is known. */
-    MapVersion version() const;
-    MapVersion attempt() const;
+    MapVersion currentVersion() const;
+    MapVersion attemptedVersion() const;
     std::vector<MapMessage> takeMessages();
     /** Compact state, for tests that explore all interleavings. */
     std::string fingerprint() const;
@@ -64,25 +64,25 @@
 private:
     class Machine;
 
-    void onStaged(TimePoint now, const wire::MapStagedT &staged);
-    void onArmed(const wire::MapArmedT &armed);
-    void onTell(TimePoint now, const wire::MapTellT &told);
+    void handleStaged(TimePoint now, const wire::MapStagedT &staged);
+    void handleArmed(const wire::MapArmedT &armed);
+    void handleTell(TimePoint now, const wire::MapTellT &told);
     void decideRecovery();
     void beginArming();
     void commitAll();
     void abortAll(MapVersion version);
     void sendForm(std::uint32_t rank);
     void resend();
-    void toAll(const Message &message);
+    void sendToAll(const Message &message);
     Message stageMessage() const;
     bool allAnswered() const;
 
     CoordinatorOptions m_options;
     Cloned<Machine> m_machine;
-    MapVersion m_version = 0;
-    MapVersion m_attempt = 0;
-    std::uint64_t m_step = 0;
-    std::uint64_t m_slowest = 0;
+    MapVersion m_currentVersion = 0;
+    MapVersion m_attemptedVersion = 0;
+    std::uint64_t m_switchStep = 0;
+    std::uint64_t m_highestStep = 0;
     std::vector<std::uint16_t> m_assignment;
     std::vector<bool> m_answered;
     std::vector<wire::MapTellT> m_told;
--- a/fulmarlink/maprank.cpp
+++ b/fulmarlink/mapswitchparticipant.cpp
@@ -15,7 +15,7 @@
 // A new agent finds "armed" and "committed" in its engine; what it does not find there
 // it has never promised, and not having staged anything it vetoes whatever is on its way.
 
-#include "fulmarlink/maprank.h"
+#include "fulmarlink/mapswitchparticipant.h"
 
 #include <algorithm>
 #include <array>
@@ -82,37 +82,37 @@
 
 } // namespace
 
-class MapRank::Machine final : public PhaseMachine<Definition, RankPhase>
+class MapSwitchParticipant::Machine final : public PhaseMachine<Definition, RankPhase>
 {
 };
 
-MapRank::MapRank(RankOptions options, const RankEngineState &engine)
+MapSwitchParticipant::MapSwitchParticipant(RankOptions options, const RankEngineState &engine)
     : m_options(options)
     , m_engine(engine)
     , m_machine(std::make_unique<Machine>())
     , m_armedPeers(options.ranks, false)
 {
-    if (m_engine.next != 0) {
+    if (m_engine.nextVersion != 0) {
         m_machine->process(Commit{});
-    } else if (m_engine.armed != 0) {
+    } else if (m_engine.armedVersion != 0) {
         m_machine->process(Arm{});
     }
 }
 
-MapRank::~MapRank() = default;
+MapSwitchParticipant::~MapSwitchParticipant() = default;
 
-MapRank::MapRank(const MapRank &other) = default;
-MapRank &MapRank::operator=(const MapRank &other) = default;
+MapSwitchParticipant::MapSwitchParticipant(const MapSwitchParticipant &other) = default;
+MapSwitchParticipant &MapSwitchParticipant::operator=(const MapSwitchParticipant &other) = default;
 
-std::optional<MapVersion> MapRank::mapFor(TimePoint now)
+std::optional<MapVersion> MapSwitchParticipant::mapForNextStep(TimePoint now)
 {
-    if (m_engine.lost) {
+    if (m_engine.outOfGroup) {
         return std::nullopt;
     }
     if (phase() == RankPhase::Committed && m_engine.step >= m_engine.armedStep) {
-        m_engine.version = m_engine.next;
-        m_engine.next = 0;
-        m_engine.armed = 0;
+        m_engine.mapVersion = m_engine.nextVersion;
+        m_engine.nextVersion = 0;
+        m_engine.armedVersion = 0;
         m_machine->process(Switch{});
     }
     const bool mustHold = phase() == RankPhase::Armed && m_engine.step >= m_engine.armedStep && !mutated(Mutation::RankSkipsHold);
@@ -120,22 +120,22 @@
         m_holdingSince = now;
     }
     m_holding = mustHold;
-    return mustHold ? std::nullopt : std::optional(m_engine.version);
+    return mustHold ? std::nullopt : std::optional(m_engine.mapVersion);
 }
 
-void MapRank::stepDone()
+void MapSwitchParticipant::completeStep()
 {
     ++m_engine.step;
 }
 
-void MapRank::receive(TimePoint /*now*/, const Message &message)
+void MapSwitchParticipant::receive(TimePoint /*now*/, const Message &message)
 {
     std::visit(Overloaded{
                    [&](const wire::MapStageT &stage) {
-                       onStage(stage);
+                       handleStage(stage);
                    },
                    [&](const wire::MapArmT &arm) {
-                       onArm(arm);
+                       handleArm(arm);
                    },
                    [&](const wire::MapCommitT &committed) {
                        commit(committed.version);
@@ -144,13 +144,13 @@
                        abort(aborted.version);
                    },
                    [&](const wire::MapAskT &ask) {
-                       onAsk(ask);
+                       handleAsk(ask);
                    },
                    [&](const wire::MapTellT &told) {
-                       onTell(told);
+                       handleTell(told);
                    },
                    [&](const wire::MapFormT &form) {
-                       onForm(form);
+                       handleForm(form);
                    },
                    [](const auto & /*other*/) {
                    },
@@ -158,64 +158,64 @@
                message);
 }
 
-void MapRank::raise(std::uint64_t generation)
+void MapSwitchParticipant::raiseGeneration(std::uint64_t generation)
 {
     if (generation <= m_engine.generation) {
         return;
     }
     m_engine.generation = generation;
     if (phase() == RankPhase::Staged && !mutated(Mutation::IgnoreFencing)) {
-        veto(m_staged); // of an older generation, and not armed
+        veto(m_stagedVersion); // of an older generation, and not armed
     }
 }
 
-void MapRank::veto(MapVersion version)
+void MapSwitchParticipant::veto(MapVersion version)
 {
-    m_vetoed = std::max(m_vetoed, version);
-    if (phase() == RankPhase::Staged && m_staged <= m_vetoed) {
+    m_vetoedVersion = std::max(m_vetoedVersion, version);
+    if (phase() == RankPhase::Staged && m_stagedVersion <= m_vetoedVersion) {
         m_machine->process(Abort{});
-        m_staged = 0;
+        m_stagedVersion = 0;
     }
 }
 
-void MapRank::onStage(const wire::MapStageT &stage)
+void MapSwitchParticipant::handleStage(const wire::MapStageT &stage)
 {
     const bool older = stage.generation < m_engine.generation && !mutated(Mutation::IgnoreFencing);
     const bool busy = phase() == RankPhase::Armed || phase() == RankPhase::Committed;
-    const bool known = phase() == RankPhase::Staged && m_staged == stage.version;
-    const bool refused = older || busy || m_engine.lost || stage.version <= m_vetoed || stage.base != m_engine.version;
+    const bool known = phase() == RankPhase::Staged && m_stagedVersion == stage.version;
+    const bool refused = older || busy || m_engine.outOfGroup || stage.version <= m_vetoedVersion || stage.base != m_engine.mapVersion;
     if (!older) {
-        raise(stage.generation);
+        raiseGeneration(stage.generation);
     }
-    if (!refused && !known && stage.version > m_staged) {
-        m_staged = stage.version;
+    if (!refused && !known && stage.version > m_stagedVersion) {
+        m_stagedVersion = stage.version;
         m_machine->process(Stage{});
     }
     wire::MapStagedT answer;
     answer.group = m_options.group;
     answer.rank = m_options.rank;
     answer.version = stage.version;
-    answer.refused = refused || m_staged != stage.version;
+    answer.refused = refused || m_stagedVersion != stage.version;
     answer.generation = m_engine.generation;
     answer.step = m_engine.step;
-    toCoordinator(answer);
+    sendToCoordinator(answer);
 }
 
-void MapRank::onArm(const wire::MapArmT &arm)
+void MapSwitchParticipant::handleArm(const wire::MapArmT &arm)
 {
-    if (m_engine.lost) {
+    if (m_engine.outOfGroup) {
         return; // what the engine had promised is not known; the group is formed anew
     }
     const bool older = arm.generation < m_engine.generation && !mutated(Mutation::IgnoreFencing);
-    const bool already = m_engine.armed == arm.version || m_engine.version == arm.version;
-    const bool possible = !older && phase() == RankPhase::Staged && m_staged == arm.version && m_engine.step < arm.step;
+    const bool already = m_engine.armedVersion == arm.version || m_engine.mapVersion == arm.version;
+    const bool possible = !older && phase() == RankPhase::Staged && m_stagedVersion == arm.version && m_engine.step < arm.step;
     if (!already && !possible) {
         veto(arm.version);
     }
     if (!already && possible) {
-        m_engine.armed = arm.version;
+        m_engine.armedVersion = arm.version;
         m_engine.armedStep = arm.step;
-        m_staged = 0;
+        m_stagedVersion = 0;
         m_armedPeers.assign(m_options.ranks, false);
         m_machine->process(Arm{});
     }
@@ -225,50 +225,50 @@
     answer.version = arm.version;
     answer.refused = !already && !possible;
     answer.generation = m_engine.generation;
-    toCoordinator(answer);
+    sendToCoordinator(answer);
 }
 
-void MapRank::commit(MapVersion version)
+void MapSwitchParticipant::commit(MapVersion version)
 {
-    if (phase() != RankPhase::Armed || m_engine.armed != version) {
+    if (phase() != RankPhase::Armed || m_engine.armedVersion != version) {
         return;
     }
-    m_engine.next = version;
+    m_engine.nextVersion = version;
     m_machine->process(Commit{});
 }
 
-void MapRank::abort(MapVersion version)
+void MapSwitchParticipant::abort(MapVersion version)
 {
-    if (phase() == RankPhase::Armed && m_engine.armed == version) {
-        m_engine.armed = 0;
+    if (phase() == RankPhase::Armed && m_engine.armedVersion == version) {
+        m_engine.armedVersion = 0;
         m_machine->process(Abort{});
-        m_vetoed = std::max(m_vetoed, version);
-    } else if (phase() == RankPhase::Staged && m_staged == version) {
+        m_vetoedVersion = std::max(m_vetoedVersion, version);
+    } else if (phase() == RankPhase::Staged && m_stagedVersion == version) {
         veto(version);
     }
 }
 
-void MapRank::onAsk(const wire::MapAskT &ask)
+void MapSwitchParticipant::handleAsk(const wire::MapAskT &ask)
 {
-    raise(ask.generation);
-    const bool decided = m_engine.version == ask.version || m_engine.next == ask.version || m_engine.armed == ask.version;
+    raiseGeneration(ask.generation);
+    const bool decided = m_engine.mapVersion == ask.version || m_engine.nextVersion == ask.version || m_engine.armedVersion == ask.version;
     // A rank that has lost its engine does not know what it promised, or ran: it vetoes nothing.
-    if (ask.version != 0 && !decided && ask.version > m_engine.version && !m_engine.lost) {
+    if (ask.version != 0 && !decided && ask.version > m_engine.mapVersion && !m_engine.outOfGroup) {
         veto(ask.version);
     }
     MapMessage answer;
-    answer.to = ask.rank < m_options.ranks ? MapMessage::To::Rank : MapMessage::To::Coordinator;
+    answer.destination = ask.rank < m_options.ranks ? MapMessage::Destination::Rank : MapMessage::Destination::Coordinator;
     answer.rank = ask.rank;
-    answer.message = tell();
+    answer.message = stateReport();
     m_messages.push_back(std::move(answer));
 }
 
-void MapRank::onTell(const wire::MapTellT &told)
+void MapSwitchParticipant::handleTell(const wire::MapTellT &told)
 {
     if (phase() != RankPhase::Armed || told.rank >= m_options.ranks || told.epoch != m_engine.epoch || told.lost) {
         return;
     }
-    const MapVersion wanted = m_engine.armed;
+    const MapVersion wanted = m_engine.armedVersion;
     if (told.version == wanted || told.next == wanted) {
         commit(wanted);
     } else if (told.vetoed >= wanted && told.armed != wanted) {
@@ -284,39 +284,39 @@
     }
 }
 
-void MapRank::onForm(const wire::MapFormT &form)
+void MapSwitchParticipant::handleForm(const wire::MapFormT &form)
 {
     if (form.generation < m_engine.generation) {
         return;
     }
     if (form.generation <= m_engine.epoch) {
-        toCoordinator(tell()); // in it already: the answer was lost
+        sendToCoordinator(stateReport()); // in it already: the answer was lost
         return;
     }
     m_engine.generation = form.generation;
     m_engine.epoch = form.generation;
-    m_vetoed = std::max({m_vetoed, m_engine.armed, m_staged});
-    m_engine.version = form.version;
-    m_engine.armed = 0;
-    m_engine.next = 0;
+    m_vetoedVersion = std::max({m_vetoedVersion, m_engine.armedVersion, m_stagedVersion});
+    m_engine.mapVersion = form.version;
+    m_engine.armedVersion = 0;
+    m_engine.nextVersion = 0;
     m_engine.step = form.step;
-    m_engine.lost = false;
-    m_staged = 0;
+    m_engine.outOfGroup = false;
+    m_stagedVersion = 0;
     m_holding = false;
     m_machine = std::make_unique<Machine>();
-    toCoordinator(tell());
+    sendToCoordinator(stateReport());
 }
 
-void MapRank::tick(TimePoint now)
+void MapSwitchParticipant::tick(TimePoint now)
 {
-    if (m_holding && phase() == RankPhase::Armed && now >= m_holdingSince + m_options.askAfter && now >= m_lastAsk + m_options.askAfter) {
-        askPeers(now);
+    if (m_holding && phase() == RankPhase::Armed && now >= m_holdingSince + m_options.peerQueryDelay && now >= m_lastPeerQuery + m_options.peerQueryDelay) {
+        queryPeers(now);
     }
 }
 
-void MapRank::askPeers(TimePoint now)
+void MapSwitchParticipant::queryPeers(TimePoint now)
 {
-    m_lastAsk = now;
+    m_lastPeerQuery = now;
     for (std::uint32_t peer = 0; peer < m_options.ranks; ++peer) {
         if (peer == m_options.rank) {
             continue;
@@ -324,60 +324,60 @@
         wire::MapAskT ask;
         ask.group = m_options.group;
         ask.generation = m_engine.generation;
-        ask.version = m_engine.armed;
+        ask.version = m_engine.armedVersion;
         ask.rank = m_options.rank;
-        m_messages.push_back({MapMessage::To::Rank, peer, ask});
+        m_messages.push_back({MapMessage::Destination::Rank, peer, ask});
     }
 }
 
-wire::MapTellT MapRank::tell() const
+wire::MapTellT MapSwitchParticipant::stateReport() const
 {
     wire::MapTellT told;
     told.group = m_options.group;
     told.rank = m_options.rank;
     told.generation = m_engine.generation;
     told.epoch = m_engine.epoch;
-    told.version = m_engine.version;
-    told.armed = m_engine.armed;
+    told.version = m_engine.mapVersion;
+    told.armed = m_engine.armedVersion;
     told.armed_step = m_engine.armedStep;
-    told.next = m_engine.next;
-    told.vetoed = m_vetoed;
+    told.next = m_engine.nextVersion;
+    told.vetoed = m_vetoedVersion;
     told.step = m_engine.step;
-    told.lost = m_engine.lost;
+    told.lost = m_engine.outOfGroup;
     return told;
 }
 
-void MapRank::toCoordinator(const Message &message)
+void MapSwitchParticipant::sendToCoordinator(const Message &message)
 {
-    m_messages.push_back({MapMessage::To::Coordinator, 0, message});
+    m_messages.push_back({MapMessage::Destination::Coordinator, 0, message});
 }
 
-const RankEngineState &MapRank::engine() const
+const RankEngineState &MapSwitchParticipant::engine() const
 {
     return m_engine;
 }
 
-RankPhase MapRank::phase() const
+RankPhase MapSwitchParticipant::phase() const
 {
     return m_machine->phase();
 }
 
-MapVersion MapRank::vetoed() const
+MapVersion MapSwitchParticipant::vetoedVersion() const
 {
-    return m_vetoed;
+    return m_vetoedVersion;
 }
 
-MapVersion MapRank::staged() const
+MapVersion MapSwitchParticipant::stagedVersion() const
 {
-    return m_staged;
+    return m_stagedVersion;
 }
 
-bool MapRank::holding() const
+bool MapSwitchParticipant::isHolding() const
 {
     return m_holding;
 }
 
-std::vector<MapMessage> MapRank::takeMessages()
+std::vector<MapMessage> MapSwitchParticipant::takeMessages()
 {
     return std::exchange(m_messages, {});
 }
--- a/testing/harness/mapexplorer.cpp
+++ b/testing/harness/mapexplorer.cpp
@@ -6,8 +6,8 @@
 #include <unordered_set>
 
 #include "fulmarlink/frame.h"
-#include "fulmarlink/mapcoordinator.h"
-#include "fulmarlink/maprank.h"
+#include "fulmarlink/mapswitchcoordinator.h"
+#include "fulmarlink/mapswitchparticipant.h"
 
 namespace fulmarlink::testing
 {
@@ -57,9 +57,9 @@
             RankTick,
             CoordinatorTick,
             Start,
-            AgentDies,
-            EngineDies,
-            CoordinatorDies,
+            AgentReplaced,
+            EngineRestarted,
+            CoordinatorReplaced,
         } kind = Kind::Deliver;
         std::uint32_t index = 0;
     };
@@ -82,14 +82,14 @@
             if (canEnter(rank)) {
                 result.push_back({Kind::Enter, rank});
             }
-            if (m_ranks[rank].holding() && !hasFlightFrom(rank)) {
+            if (m_ranks[rank].isHolding() && !hasFlightFrom(rank)) {
                 result.push_back({Kind::RankTick, rank});
             }
-            if (m_left.agentDeaths > 0) {
-                result.push_back({Kind::AgentDies, rank});
+            if (m_left.agentReplacements > 0) {
+                result.push_back({Kind::AgentReplaced, rank});
             }
-            if (m_left.engineDeaths > 0) {
-                result.push_back({Kind::EngineDies, rank});
+            if (m_left.engineRestarts > 0) {
+                result.push_back({Kind::EngineRestarted, rank});
             }
         }
         for (std::uint32_t i = 0; i < m_coordinators.size(); ++i) {
@@ -100,8 +100,8 @@
                 result.push_back({Kind::Start, i});
             }
         }
-        if (m_left.coordinatorDeaths > 0) {
-            result.push_back({Kind::CoordinatorDies, 0});
+        if (m_left.coordinatorTakeovers > 0) {
+            result.push_back({Kind::CoordinatorReplaced, 0});
         }
         return result;
     }
@@ -138,16 +138,16 @@
             m_coordinators[move.index].start(m_now, {});
             collectCoordinator(move.index);
             return "coordinator " + std::to_string(move.index) + " starts a switch";
-        case Kind::AgentDies:
-            --m_left.agentDeaths;
+        case Kind::AgentReplaced:
+            --m_left.agentReplacements;
             replaceAgent(move.index, m_ranks[move.index].engine());
             return "agent " + std::to_string(move.index) + " is replaced";
-        case Kind::EngineDies:
-            --m_left.engineDeaths;
+        case Kind::EngineRestarted:
+            --m_left.engineRestarts;
             killEngine(move.index);
             return "engine " + std::to_string(move.index) + " restarts";
-        case Kind::CoordinatorDies:
-            --m_left.coordinatorDeaths;
+        case Kind::CoordinatorReplaced:
+            --m_left.coordinatorTakeovers;
             addCoordinator();
             return "a new coordinator takes over";
         }
@@ -158,14 +158,21 @@
     {
         std::string text;
         for (std::uint32_t rank = 0; rank < m_options.ranks; ++rank) {
-            const MapRank &state = m_ranks[rank];
+            const MapSwitchParticipant &state = m_ranks[rank];
             const RankEngineState &engine = state.engine();
-            for (const std::uint64_t number :
-                 {engine.generation, engine.epoch, engine.version, engine.armed, engine.armedStep, engine.next, engine.step, state.vetoed(), state.staged()}) {
+            for (const std::uint64_t number : {engine.generation,
+                                               engine.epoch,
+                                               engine.mapVersion,
+                                               engine.armedVersion,
+                                               engine.armedStep,
+                                               engine.nextVersion,
+                                               engine.step,
+                                               state.vetoedVersion(),
+                                               state.stagedVersion()}) {
                 text += std::to_string(number) + ' ';
             }
-            text += std::to_string(static_cast<int>(state.phase())) + (engine.lost ? 'l' : '-') + (m_entered[rank] ? 'e' : '-') + (state.holding() ? 'h' : '-')
-                    + std::to_string(m_incarnation[rank]) + '|';
+            text += std::to_string(static_cast<int>(state.phase())) + (engine.outOfGroup ? 'l' : '-') + (m_entered[rank] ? 'e' : '-')
+                    + (state.isHolding() ? 'h' : '-') + std::to_string(m_incarnation[rank]) + '|';
         }
         for (std::size_t i = 0; i < m_coordinators.size(); ++i) {
             text += m_coordinators[i].fingerprint() + std::to_string(m_resends[i]) + '|';
@@ -178,7 +185,8 @@
         for (const std::uint64_t hash : hashes) {
             text += std::to_string(hash) + ' ';
         }
-        for (const unsigned left : {m_left.switches, m_left.losses, m_left.duplicates, m_left.agentDeaths, m_left.engineDeaths, m_left.coordinatorDeaths}) {
+        for (const unsigned left :
+             {m_left.switches, m_left.losses, m_left.duplicates, m_left.agentReplacements, m_left.engineRestarts, m_left.coordinatorTakeovers}) {
             text += std::to_string(left) + ',';
         }
         return text;
@@ -194,12 +202,12 @@
         return m_flights;
     }
 
-    MapRank &rank(std::uint32_t rank)
+    MapSwitchParticipant &rank(std::uint32_t rank)
     {
         return m_ranks[rank];
     }
 
-    MapCoordinator &coordinator()
+    MapSwitchCoordinator &coordinator()
     {
         return m_coordinators.back();
     }
@@ -218,7 +226,8 @@
     bool canEnter(std::uint32_t rank) const
     {
         const RankEngineState &engine = m_ranks[rank].engine();
-        return !m_entered[rank] && !engine.lost && engine.step < m_options.steps && !(m_ranks[rank].holding() && m_ranks[rank].phase() == RankPhase::Armed);
+        return !m_entered[rank] && !engine.outOfGroup && engine.step < m_options.steps
+               && !(m_ranks[rank].isHolding() && m_ranks[rank].phase() == RankPhase::Armed);
     }
 
     std::string deliver(const Flight &flight)
@@ -244,7 +253,7 @@
 
     void enter(std::uint32_t rank)
     {
-        const auto version = m_ranks[rank].mapFor(m_now);
+        const auto version = m_ranks[rank].mapForNextStep(m_now);
         if (!version) {
             return;
         }
@@ -261,11 +270,11 @@
     static RankEngineState firstEngine()
     {
         RankEngineState engine;
-        engine.version = kFirstVersion;
+        engine.mapVersion = kFirstVersion;
         return engine;
     }
 
-    MapRank makeRank(std::uint32_t rank, const RankEngineState &engine) const
+    MapSwitchParticipant makeRank(std::uint32_t rank, const RankEngineState &engine) const
     {
         RankOptions options;
         options.rank = rank;
@@ -297,7 +306,7 @@
     void killEngine(std::uint32_t rank)
     {
         RankEngineState engine;
-        engine.lost = true;
+        engine.outOfGroup = true;
         m_entered[rank] = false;
         replaceAgent(rank, engine);
     }
@@ -313,7 +322,7 @@
             }
         }
         for (std::uint32_t rank = 0; rank < m_options.ranks; ++rank) {
-            m_ranks[rank].stepDone();
+            m_ranks[rank].completeStep();
             m_entered[rank] = false;
         }
         ++m_stepsDone;
@@ -345,7 +354,7 @@
     {
         // A rank that has been let go may enter; one re-formed leaves the step it was in.
         for (MapMessage &message : m_ranks[rank].takeMessages()) {
-            const bool toRank = message.to == MapMessage::To::Rank;
+            const bool toRank = message.destination == MapMessage::Destination::Rank;
             add(toRank, toRank ? message.rank : coordinator, coordinator, std::move(message.message));
         }
         if (m_epochs.size() < m_options.ranks) {
@@ -372,11 +381,11 @@
     }
 
     ExplorerOptions m_options;
-    std::vector<MapRank> m_ranks;
+    std::vector<MapSwitchParticipant> m_ranks;
     std::vector<bool> m_entered;
     std::vector<std::uint64_t> m_incarnation;
     std::vector<std::uint64_t> m_epochs;
-    std::vector<MapCoordinator> m_coordinators;
+    std::vector<MapSwitchCoordinator> m_coordinators;
     std::vector<unsigned> m_resends;
     std::vector<Flight> m_flights;
     std::map<std::pair<std::uint64_t, std::uint64_t>, MapVersion> m_used; ///< by epoch and step
@@ -432,12 +441,12 @@
 
 } // namespace
 
-ExplorerResult exploreAll(const ExplorerOptions &options)
+ExplorerResult exploreExhaustively(const ExplorerOptions &options)
 {
     return Explorer(options).run();
 }
 
-ExplorerResult exploreRandom(const ExplorerOptions &options, unsigned walks, std::uint64_t seed)
+ExplorerResult exploreRandomWalks(const ExplorerOptions &options, unsigned walks, std::uint64_t seed)
 {
     constexpr unsigned kMaxMoves = 400;
     Random random(seed);
@@ -510,20 +519,21 @@
     using Kind = GroupModel::Move::Kind;
     const CoordinatorPhase phase = model.coordinator().phase();
     const RankPhase rank = model.rank(0).phase();
-    if ((fault == MapFault::CoordinatorDiesStaging && phase == CoordinatorPhase::Staging)
-        || (fault == MapFault::CoordinatorDiesArming && phase == CoordinatorPhase::Arming)
-        || (fault == MapFault::CoordinatorDiesCommitting && phase == CoordinatorPhase::Committing)) {
+    if ((fault == MapFault::CoordinatorReplacedWhileStaging && phase == CoordinatorPhase::Staging)
+        || (fault == MapFault::CoordinatorReplacedWhileArming && phase == CoordinatorPhase::Arming)
+        || (fault == MapFault::CoordinatorReplacedWhileCommitting && phase == CoordinatorPhase::Committing)) {
         model.flights().clear(); // it dies with all that it was about to send
-        model.make({Kind::CoordinatorDies, 0});
+        model.make({Kind::CoordinatorReplaced, 0});
         return true;
     }
-    if ((fault == MapFault::AgentReplacedStaged && rank == RankPhase::Staged) || (fault == MapFault::AgentReplacedArmed && rank == RankPhase::Armed)) {
-        model.make({Kind::AgentDies, 0});
+    if ((fault == MapFault::AgentReplacedWhileStaged && rank == RankPhase::Staged)
+        || (fault == MapFault::AgentReplacedWhileArmed && rank == RankPhase::Armed)) {
+        model.make({Kind::AgentReplaced, 0});
         return true;
     }
     if (fault == MapFault::EngineRestarts && rank == RankPhase::Armed) {
-        model.make({Kind::EngineDies, 0});
-        model.make({Kind::CoordinatorDies, 0}); // whoever notices wins a new generation
+        model.make({Kind::EngineRestarted, 0});
+        model.make({Kind::CoordinatorReplaced, 0}); // whoever notices wins a new generation
         return true;
     }
     return false;
@@ -540,9 +550,9 @@
     options.steps = 1000;
     options.stepMargin = 4; // an order takes as long as a step here
     options.resends = 1000;
-    options.coordinatorDeaths = 1;
-    options.agentDeaths = 1;
-    options.engineDeaths = 1;
+    options.coordinatorTakeovers = 1;
+    options.agentReplacements = 1;
+    options.engineRestarts = 1;
     GroupModel model(options);
     StallResult result;
     unsigned lost = 0;
@@ -566,18 +576,18 @@
             model.make({GroupModel::Move::Kind::CoordinatorTick, model.coordinators() - 1});
         }
         for (std::uint32_t rank = 0; rank < ranks; ++rank) {
-            if (!model.rank(rank).engine().lost) {
+            if (!model.rank(rank).engine().outOfGroup) {
                 model.enter(rank);
             }
-            if (model.rank(rank).holding()) {
+            if (model.rank(rank).isHolding()) {
                 model.make({GroupModel::Move::Kind::RankTick, rank});
             }
         }
         result.stalledSteps += model.stepsDone() == lastSteps ? 1 : 0;
-        result.goesOn = model.stepsDone() != lastSteps;
+        result.steppingAtEnd = model.stepsDone() != lastSteps;
         lastSteps = model.stepsDone();
     }
-    result.switched = model.rank(0).engine().version != kFirstVersion;
+    result.switched = model.rank(0).engine().mapVersion != kFirstVersion;
     return result;
 }
 
--- a/testing/harness/mapexplorer.h
+++ b/testing/harness/mapexplorer.h
@@ -15,9 +15,9 @@
     unsigned switches = 1;
     unsigned losses = 0;
     unsigned duplicates = 0;
-    unsigned agentDeaths = 0;
-    unsigned engineDeaths = 0;
-    unsigned coordinatorDeaths = 0; ///< a new one takes over; the old one goes on, believing
+    unsigned agentReplacements = 0;
+    unsigned engineRestarts = 0;
+    unsigned coordinatorTakeovers = 0; ///< a new one takes over; the old one goes on, believing
     unsigned resends = 1; ///< ticks of each coordinator
     std::uint64_t maxStates = 200'000;
 };
@@ -30,10 +30,10 @@
 };
 
 /** Visits every interleaving of messages, steps and faults, depth first, each state once. */
-ExplorerResult exploreAll(const ExplorerOptions &options);
+ExplorerResult exploreExhaustively(const ExplorerOptions &options);
 
 /** Follows @p walks random interleavings. */
-ExplorerResult exploreRandom(const ExplorerOptions &options, unsigned walks, std::uint64_t seed);
+ExplorerResult exploreRandomWalks(const ExplorerOptions &options, unsigned walks, std::uint64_t seed);
 
 /**
  * Runs one switch with a fault and gives the number of steps' time that the group
@@ -42,7 +42,7 @@
 struct StallResult {
     unsigned stalledSteps = 0;
     bool switched = false;
-    bool goesOn = false; ///< the group steps at the end
+    bool steppingAtEnd = false; ///< the group steps at the end
 };
 enum class MapFault : std::uint8_t {
     None,
@@ -52,11 +52,11 @@
     LoseArmed,
     LoseCommit,
     LoseAllCommits,
-    CoordinatorDiesStaging,
-    CoordinatorDiesArming,
-    CoordinatorDiesCommitting,
-    AgentReplacedStaged,
-    AgentReplacedArmed,
+    CoordinatorReplacedWhileStaging,
+    CoordinatorReplacedWhileArming,
+    CoordinatorReplacedWhileCommitting,
+    AgentReplacedWhileStaged,
+    AgentReplacedWhileArmed,
     EngineRestarts,
 };
 StallResult measureStall(MapFault fault, std::uint32_t ranks);
--- a/testing/mapswitch_test.cpp
+++ b/testing/mapswitch_test.cpp
@@ -30,9 +30,9 @@
     options.ranks = ranks;
     options.losses = losses;
     options.duplicates = duplicates;
-    options.agentDeaths = agents;
-    options.engineDeaths = engines;
-    options.coordinatorDeaths = coordinators;
+    options.agentReplacements = agents;
+    options.engineRestarts = engines;
+    options.coordinatorTakeovers = coordinators;
     options.resends = losses; // without losses there is nothing to send again
     return options;
 }
@@ -52,7 +52,7 @@
 
 TEST_P(MapSwitchExploration, EveryStepHasOneMap)
 {
-    const ExplorerResult result = exploreAll(GetParam().options);
+    const ExplorerResult result = exploreExhaustively(GetParam().options);
     std::cout << GetParam().name << ": " << result.states << " states, " << (result.complete ? "all" : "bounded") << '\n';
     EXPECT_EQ(result.violation, "") << join(result.path);
 }
@@ -83,7 +83,7 @@
 TEST(MapSwitch, RandomWalksWithSeveralFaults)
 {
     for (const std::uint32_t ranks : {2U, 3U, 4U}) {
-        const ExplorerResult result = exploreRandom(walkOptions(ranks), 3000, 5);
+        const ExplorerResult result = exploreRandomWalks(walkOptions(ranks), 3000, 5);
         std::cout << ranks << " ranks: 3000 walks, " << result.states << " states, seed 5\n";
         EXPECT_EQ(result.violation, "") << join(result.path);
     }
@@ -108,7 +108,7 @@
 {
     const ScopedMutation on(GetParam().mutation);
     for (const std::uint32_t ranks : {2U, 3U}) {
-        const ExplorerResult result = exploreRandom(walkOptions(ranks), 20000, 9);
+        const ExplorerResult result = exploreRandomWalks(walkOptions(ranks), 20000, 9);
         if (!result.violation.empty()) {
             std::cout << GetParam().name << " caught after " << result.states << " states: " << result.violation << '\n';
             return;
@@ -133,7 +133,7 @@
         const auto fault = static_cast<MapFault>(i);
         const StallResult result = measureStall(fault, 4);
         std::cout << mapFaultName(fault) << ": " << result.stalledSteps << " steps stalled, " << (result.switched ? "switched" : "not switched") << '\n';
-        EXPECT_TRUE(result.goesOn) << mapFaultName(fault);
+        EXPECT_TRUE(result.steppingAtEnd) << mapFaultName(fault);
         EXPECT_LE(result.stalledSteps, 12U) << mapFaultName(fault);
     }
 }
