--- a/app/rungateway.cpp
+++ b/app/rungateway.cpp
@@ -123,11 +123,11 @@
     const HostClock clock;
     PlatformClientOptions options;
     options.store = settings.store;
-    GatewayEdges edges;
-    edges.protocol = std::make_unique<PlatformProtocol>();
-    edges.platform = std::make_unique<PlatformClient>(context.get_executor(), clock, counters, options);
+    GatewayAdapters adapters;
+    adapters.protocol = std::make_unique<PlatformProtocol>();
+    adapters.platform = std::make_unique<PlatformClient>(context.get_executor(), clock, counters, options);
     const auto limit = settings.shutdownLimit - kShutdownReserve;
-    Gateway gateway(context, std::move(settings), counters, std::move(edges));
+    Gateway gateway(context, std::move(settings), counters, std::move(adapters));
     const SettingsReloader reloader(context, gateway, line.operands().front(), text);
     return ProcessRunner<Gateway>(context, gateway, 1, limit).run();
 }
--- a/fulmarlink/admission.cpp
+++ b/fulmarlink/admission.cpp
@@ -46,7 +46,7 @@
 {
     std::vector<RankedCandidate> result;
     for (TargetCandidate &candidate : state.targets.candidates(pool, tried, now, state.random)) {
-        const bool noProgress = state.standsStill(pool, candidate.group, now);
+        const bool noProgress = state.isGroupStalled(pool, candidate.group, now);
         const double pace = std::max(kPaceFloor, relativePace(state.pool(pool).gate(candidate.group), now));
         const double cost = (candidate.load + kIdleRunnerLoad) * pace;
         result.push_back({std::move(candidate), noProgress, cost, state.random()});
@@ -102,7 +102,7 @@
     const double serviceSeconds = std::chrono::duration<double>(state.pool(pool).serviceTime.mean()).count();
     const double perSecond = (blocked.limitedPerSecond + blocked.slots / serviceSeconds) / state.signals.pacer.hostCount();
     const Duration soonest = blocked.nextRoom ? *blocked.nextRoom - now : Duration(0);
-    return state.pool(pool).returns.nextDelay(perSecond, soonest, now, state.random);
+    return state.pool(pool).retryAfterPacer.nextDelay(perSecond, soonest, now, state.random);
 }
 
 } // namespace fulmarlink
--- a/fulmarlink/crashwatch.cpp
+++ b/fulmarlink/crashwatch.cpp
@@ -149,7 +149,7 @@
     for (CrashRecord &record : read.crashes) {
         apply(std::move(record));
     }
-    m_state.crashesKnown = true;
+    m_state.crashRecordsLoaded = true;
     queueClearances();
     m_state.counters.set(m_records, m_state.crashes.size());
     m_state.counters.set(m_recordsDropped, m_state.crashes.droppedRecords());
@@ -326,7 +326,7 @@
             m_queue.pop_front();
         }
         logStoreState(m_writable, written, "crash-record-written", error);
-        co_await sleep(written ? m_state.sharedWritePause() : retryDelay());
+        co_await sleep(written ? m_state.sharedWriteInterval() : retryDelay());
     }
 }
 
--- a/fulmarlink/expertmapcontroller.cpp
+++ b/fulmarlink/expertmapcontroller.cpp
@@ -152,7 +152,7 @@
     };
     asio::co_spawn(m_context, supervised(m_context, m_state.counters, "lease", std::move(lease)), asio::detached);
     m_lastMemberAt = m_state.clock.now();
-    while (!m_state.drainBegan && m_state.clock.now() - m_lastMemberAt < kEmptyGroupTimeout) {
+    while (!m_state.drainStartedAt && m_state.clock.now() - m_lastMemberAt < kEmptyGroupTimeout) {
         co_await sleep(m_lease.holds() ? kLeaderInterval : kFollowerInterval);
         const auto spec = engine();
         if (!spec || !hasMembers()) {
@@ -234,8 +234,8 @@
     if (DemandShiftDetector::suggestsSlowRank(gate().meanEventInterval(m_state.clock.now()), baseline)) {
         co_await refreshSlowRanks();
     }
-    const double minImprovement = m_state.settings.leastImprovement * m_state.settings.costWeight / std::max(kMinWeight, m_state.settings.skewWeight);
-    for (const Duration budget : {Duration(m_state.settings.firstCopies), Duration(m_state.settings.copies)}) {
+    const double minImprovement = m_state.settings.minImbalanceReduction * m_state.settings.costWeight / std::max(kMinWeight, m_state.settings.skewWeight);
+    for (const Duration budget : {Duration(m_state.settings.firstCopyTime), Duration(m_state.settings.followUpCopyTime)}) {
         ExpertPlan plan = co_await computePlan(load, budget);
         if (plan.imbalanceBefore - plan.imbalanceAfter < minImprovement) {
             const bool changed = co_await refreshSlowRanks(); // the map fits the demand, but passes are still long
@@ -261,7 +261,7 @@
         return true;
     }
     const std::chrono::duration<double> expected = std::chrono::duration<double>(*baseline) * passDurationRatio(m_engine, kTypicalImbalance, imbalance);
-    return expected > std::chrono::duration<double>(target) * m_state.settings.restShare;
+    return expected > std::chrono::duration<double>(target) * m_state.settings.followUpGapShare;
 }
 
 asio::awaitable<ExpertPlan> ExpertMapController::computePlan(const std::vector<std::vector<double>> &load, Duration copyBudget)
--- a/fulmarlink/expertmapcontrollerpace.cpp
+++ b/fulmarlink/expertmapcontrollerpace.cpp
@@ -32,7 +32,7 @@
 /** True if requests from this host are open at the group and none has made progress for too long. */
 bool ExpertMapController::isStalled() const
 {
-    return m_state.standsStill(m_pool, m_group, m_state.clock.now());
+    return m_state.isGroupStalled(m_pool, m_group, m_state.clock.now());
 }
 
 bool ExpertMapController::shouldReadCounts()
--- a/fulmarlink/gateway.cpp
+++ b/fulmarlink/gateway.cpp
@@ -58,14 +58,14 @@
 
 } // namespace
 
-Gateway::Gateway(asio::io_context &context, GatewaySettings settings, Counters &counters, GatewayEdges edges)
+Gateway::Gateway(asio::io_context &context, GatewaySettings settings, Counters &counters, GatewayAdapters adapters)
     : m_context(context)
     , m_counters(counters)
-    , m_edges{std::move(edges.protocol), std::make_unique<GuardedPlatform>(std::move(edges.platform), counters)}
-    , m_state(std::move(settings), m_clock, m_counters, *m_edges.protocol)
+    , m_adapters{std::move(adapters.protocol), std::make_unique<GuardedPlatform>(std::move(adapters.platform), counters)}
+    , m_state(std::move(settings), m_clock, m_counters, *m_adapters.protocol)
     , m_connections(context.get_executor(), m_clock, m_counters)
-    , m_crashWatch(context, m_state, *m_edges.platform)
-    , m_limitWatch(context, m_state, *m_edges.platform)
+    , m_crashWatch(context, m_state, *m_adapters.platform)
+    , m_limitWatch(context, m_state, *m_adapters.platform)
     , m_signalWatch(m_state)
     , m_server(context.get_executor(), m_state)
     , m_configVersion(m_counters.registerCounter("fulmarlink_rules_version"))
@@ -77,14 +77,14 @@
     m_state.crashWatch = &m_crashWatch;
     m_state.limitWatch = &m_limitWatch;
     m_state.signalWatch = &m_signalWatch;
-    m_edges.platform->setRunnerListener(&m_signalWatch);
+    m_adapters.platform->setRunnerListener(&m_signalWatch);
 }
 
 Gateway::~Gateway() = default;
 
 bool Gateway::ready() const
 {
-    return !m_state.drainBegan && m_targetsKnown && m_state.crashesKnown && m_state.config.active() && !m_state.proofAges(m_clock.now());
+    return !m_state.drainStartedAt && m_targetsKnown && m_state.crashRecordsLoaded && m_state.config.active() && !m_state.proofIsStale(m_clock.now());
 }
 
 void Gateway::startHttp()
@@ -142,18 +142,18 @@
 
 void Gateway::startDrain()
 {
-    m_state.drainBegan = m_clock.now();
-    logChange("draining", {{"unanswered", std::to_string(m_state.exchanges)}});
+    m_state.drainStartedAt = m_clock.now();
+    logChange("draining", {{"unanswered", std::to_string(m_state.unansweredRequests)}});
 }
 
 bool Gateway::drained() const
 {
-    return m_clock.now() - m_state.drainBegan.value_or(m_clock.now()) >= kDrainLeast && m_state.exchanges == 0;
+    return m_clock.now() - m_state.drainStartedAt.value_or(m_clock.now()) >= kDrainLeast && m_state.unansweredRequests == 0;
 }
 
 void Gateway::cutAll()
 {
-    logWarning("cut", {{"unanswered", std::to_string(m_state.exchanges)}});
+    logWarning("cut", {{"unanswered", std::to_string(m_state.unansweredRequests)}});
 }
 
 void Gateway::stop()
@@ -202,7 +202,7 @@
 asio::awaitable<void> Gateway::configurationLoop()
 {
     for (;;) {
-        ConfigurationRead read = co_await m_edges.platform->readConfiguration();
+        ConfigurationRead read = co_await m_adapters.platform->readConfiguration();
         noteStore(!read.error || read.error == ResultCode::ObjectNotFound, "configuration", read.error.message());
         if (!read.error) {
             const std::uint64_t offered = read.configuration ? read.configuration->version : m_state.config.version();
@@ -248,7 +248,7 @@
         if (!service.engine || service.engine->layerSets == 0 || m_groupWatches.contains(service.name)) {
             continue;
         }
-        const auto watch = std::make_shared<GroupWatch>(m_context, m_state, *m_edges.platform, service.name);
+        const auto watch = std::make_shared<GroupWatch>(m_context, m_state, *m_adapters.platform, service.name);
         m_groupWatches.emplace(service.name, watch);
         auto run = [watch] {
             return watch->run();
@@ -283,7 +283,7 @@
 asio::awaitable<void> Gateway::targetsLoop()
 {
     for (;;) {
-        const TargetsRead read = co_await m_edges.platform->readTargets();
+        const TargetsRead read = co_await m_adapters.platform->readTargets();
         noteStore(!read.error || read.error == ResultCode::ObjectNotFound, "targets", read.error.message());
         if (!read.error) {
             noteTargets(read);
@@ -300,11 +300,11 @@
         const bool renews = began >= m_renewEntryAt;
         std::error_code error;
         if (renews) {
-            error = co_await m_edges.platform->renewEntry(m_state.settings.host, ++renewals);
+            error = co_await m_adapters.platform->renewEntry(m_state.settings.host, ++renewals);
             const Duration usual = std::max(kEntriesInterval, kEntryWrites * m_state.entries);
             m_renewEntryAt = began + jittered(error ? usual / 5 : usual);
         }
-        const EntriesRead read = co_await m_edges.platform->readEntries();
+        const EntriesRead read = co_await m_adapters.platform->readEntries();
         if (read.error) {
             m_liveHosts.recordFailedRead();
         } else {
@@ -342,9 +342,9 @@
             m_limitWatch.removeUnlistedRunners();
             m_signalWatch.removeUnlistedRunners();
         }
-        m_counters.set(m_requestsNow, m_state.exchanges);
+        m_counters.set(m_requestsNow, m_state.unansweredRequests);
         m_counters.set(m_proofAge, static_cast<std::uint64_t>(m_state.config.age(m_clock.now()).count() / 1000));
-        if (m_state.drainBegan && m_clock.now() - *m_state.drainBegan >= kDrainLeast) {
+        if (m_state.drainStartedAt && m_clock.now() - *m_state.drainStartedAt >= kDrainLeast) {
             m_server.closeIdle();
         }
         flushLog();
--- a/fulmarlink/gateway.h
+++ b/fulmarlink/gateway.h
@@ -26,7 +26,7 @@
 class Platform;
 
 /** The edges of a gateway that differ from platform to platform. */
-struct GatewayEdges {
+struct GatewayAdapters {
     std::unique_ptr<CallerProtocol> protocol;
     std::unique_ptr<Platform> platform;
 };
@@ -42,7 +42,7 @@
 {
 public:
     /** @p counters outlives the gateway. */
-    Gateway(boost::asio::io_context &context, GatewaySettings settings, Counters &counters, GatewayEdges edges);
+    Gateway(boost::asio::io_context &context, GatewaySettings settings, Counters &counters, GatewayAdapters adapters);
     ~Gateway();
 
     void start();
@@ -79,7 +79,7 @@
     boost::asio::io_context &m_context;
     HostClock m_clock;
     Counters &m_counters;
-    GatewayEdges m_edges;
+    GatewayAdapters m_adapters;
     GatewayState m_state;
     TargetConnections m_connections;
     CrashWatch m_crashWatch;
--- a/fulmarlink/gatewayexchange.cpp
+++ b/fulmarlink/gatewayexchange.cpp
@@ -69,7 +69,7 @@
 
 bool GatewayExchange::closing() const
 {
-    return m_state.drainBegan || !m_keepAlive || m_state.proofAges(m_state.clock.now());
+    return m_state.drainStartedAt || !m_keepAlive || m_state.proofIsStale(m_state.clock.now());
 }
 
 Duration GatewayExchange::timeLeft() const
@@ -94,7 +94,7 @@
     if (it == m_active->keys.end()) {
         return m_state.config.age(now) < kFreshEnoughToDeny ? refuse(ResultCode::ApiKeyUnknown) : refuse(ResultCode::ConfigurationUnproved, kUnprovedRetry);
     }
-    if (!m_state.keysProved(now)) {
+    if (!m_state.keyProofValid(now)) {
         return refuse(ResultCode::ConfigurationUnproved, kUnprovedRetry);
     }
     m_customer = it->second.customer;
@@ -136,11 +136,11 @@
 bool GatewayExchange::admit()
 {
     m_deadline = m_arrived + m_facts.deadline.value_or(kDefaultDeadline);
-    if (m_state.drainBegan && m_arrived - *m_state.drainBegan > kDrainAdmits) {
+    if (m_state.drainStartedAt && m_arrived - *m_state.drainStartedAt > kDrainAdmits) {
         return refuse(ResultCode::ShuttingDown, kDrainRetry);
     }
     m_active = m_state.config.active();
-    if (!m_active || !m_state.crashesKnown) {
+    if (!m_active || !m_state.crashRecordsLoaded) {
         return refuse(ResultCode::NoConfiguration, kUnprovedRetry);
     }
     m_route = m_active->rules->route(m_info);
@@ -177,14 +177,14 @@
 
 asio::awaitable<bool> GatewayExchange::run()
 {
-    ++m_state.exchanges;
+    ++m_state.unansweredRequests;
     std::exception_ptr error;
     try {
         co_await answer();
     } catch (...) {
         error = std::current_exception();
     }
-    --m_state.exchanges;
+    --m_state.unansweredRequests;
     if (error) {
         std::rethrow_exception(error);
     }
@@ -247,7 +247,7 @@
             return false;
         }
     }
-    if (!m_route.anonymous && (!m_state.keysProved(now) || !active->keys.contains(m_facts.apiKey))) {
+    if (!m_route.anonymous && (!m_state.keyProofValid(now) || !active->keys.contains(m_facts.apiKey))) {
         m_reason = "key-unproved";
         return false;
     }
--- a/fulmarlink/gatewayrelay.cpp
+++ b/fulmarlink/gatewayrelay.cpp
@@ -233,7 +233,7 @@
 {
     std::array<char, kReadBytes> bytes{};
     boost::system::error_code error;
-    const Duration silence = Duration(m_state.settings.stall) + kStallMargin;
+    const Duration silence = Duration(m_state.settings.stallTimeout) + kStallMargin;
     while (!parser.is_done()) {
         auto &piece = parser.get().body();
         piece.data = bytes.data();
@@ -317,9 +317,9 @@
     const Duration target = first ? m_route.objective : m_route.gapTarget;
     if (first) {
         m_firstEvent = now;
-        m_state.firstEvent.observe(pause);
+        m_state.firstEventDelay.observe(pause);
     } else {
-        m_state.eventPause.observe(pause);
+        m_state.eventInterval.observe(pause);
         m_longestPause = std::max(m_longestPause, pause);
         gate.recordEventInterval(pause, target, now);
     }
--- a/fulmarlink/gatewaysettings.cpp
+++ b/fulmarlink/gatewaysettings.cpp
@@ -69,7 +69,7 @@
     settings.configurationBound = readMs(bounds, "configuration_ms", settings.configurationBound);
     settings.leavingBound = readMs(bounds, "leaving_ms", settings.leavingBound);
     settings.shutdownLimit = readMs(bounds, "shutdown_ms", settings.shutdownLimit);
-    settings.stall = readMs(bounds, "stall_ms", settings.stall);
+    settings.stallTimeout = readMs(bounds, "stall_ms", settings.stallTimeout);
     settings.retryWindow = readMs(bounds, "retry_window_ms", settings.retryWindow);
     settings.retryRatio = bounds.real("retry_ratio", settings.retryRatio, 0, kMaxRatio);
     settings.retrySlack = bounds.real("retry_slack", settings.retrySlack, 0, kMaxSlack);
@@ -82,10 +82,10 @@
     const YamlReader planner = reader.child("planner");
     planner.keys({"skew_weight", "cost_weight", "sampled_ranks", "first_copies_ms", "copies_ms", "least_improvement", "rest_share"});
     settings.sampledRanks = static_cast<unsigned>(planner.number("sampled_ranks", settings.sampledRanks, 1, 1000));
-    settings.firstCopies = readMs(planner, "first_copies_ms", settings.firstCopies);
-    settings.copies = readMs(planner, "copies_ms", settings.copies);
-    settings.leastImprovement = planner.real("least_improvement", settings.leastImprovement, 0, 10);
-    settings.restShare = planner.real("rest_share", settings.restShare, 0, 10);
+    settings.firstCopyTime = readMs(planner, "first_copies_ms", settings.firstCopyTime);
+    settings.followUpCopyTime = readMs(planner, "copies_ms", settings.followUpCopyTime);
+    settings.minImbalanceReduction = planner.real("least_improvement", settings.minImbalanceReduction, 0, 10);
+    settings.followUpGapShare = planner.real("rest_share", settings.followUpGapShare, 0, 10);
     settings.skewWeight = planner.real("skew_weight", settings.skewWeight, 0, kMaxWeight);
     settings.costWeight = planner.real("cost_weight", settings.costWeight, 0, kMaxWeight);
     return settings;
--- a/fulmarlink/gatewaysettings.h
+++ b/fulmarlink/gatewaysettings.h
@@ -27,7 +27,7 @@
     std::chrono::milliseconds configurationBound{2000}; ///< a change is in force after this
     std::chrono::milliseconds leavingBound{2000}; ///< a leaving runner gets no work after this
     std::chrono::milliseconds shutdownLimit{8000}; ///< from SIGTERM to SIGKILL
-    std::chrono::milliseconds stall{1500}; ///< work that depends on a dead rank stands still for so long before it is cut off
+    std::chrono::milliseconds stallTimeout{1500}; ///< work that depends on a dead rank stands still for so long before it is cut off
     std::chrono::milliseconds retryWindow{10'000};
     double retryRatio = 0.2; ///< repeats for each request of the window, over all entries
     double retrySlack = 90; ///< and so many more
@@ -44,11 +44,11 @@
      * Copies of a first switch after a turn, of one rank: one expert on every engine known. It takes away most of the imbalance and is in force as soon
      * as anything can be. Three copies in 0.12 s served 2 to 15 in 100 less on sites with small experts, by 6 to 8 plays each.
      */
-    std::chrono::milliseconds firstCopies{30};
+    std::chrono::milliseconds firstCopyTime{30};
     /** Copies of the rest, to the nearest expert: a switch must be in force long before demand turns again. 0.35 s served 2 to 8 in 100 less there. */
-    std::chrono::milliseconds copies{260};
-    double leastImprovement = 0.2; ///< of the busiest rank's load over the mean; below it orders and copies cost more than the shorter passes bring
-    double restShare = 0.5; ///< of the gap target: where passes are shorter after the first switch, the rest would serve nobody better
+    std::chrono::milliseconds followUpCopyTime{260};
+    double minImbalanceReduction = 0.2; ///< of the busiest rank's load over the mean; below it orders and copies cost more than the shorter passes bring
+    double followUpGapShare = 0.5; ///< of the gap target: where passes are shorter after the first switch, the rest would serve nobody better
 
     /** All errors are recorded; the result is only meaningful without any. */
     static GatewaySettings parse(std::string_view text, const std::string &file, FileErrors &errors);
--- a/fulmarlink/gatewaystate.cpp
+++ b/fulmarlink/gatewaystate.cpp
@@ -14,8 +14,8 @@
 /** Between the check of a key and the runner's start: a busy host's delay and the way to the runner. */
 constexpr Duration kRevokeMargin = std::chrono::milliseconds(600);
 
-/** Older proofs make a host not ready: the platform needs two seconds to send callers elsewhere, and keyed requests are refused from keyProofLimit() on. A read
- * that is lost takes 0.95 s. */
+/** Older proofs make a host not ready: the platform needs two seconds to send callers elsewhere, and keyed requests are refused from maxKeyProofAge() on. A
+ * read that is lost takes 0.95 s. */
 constexpr Duration kReadyProof = std::chrono::milliseconds(2100);
 
 constexpr Duration kStandstill = std::chrono::milliseconds(500); ///< longer than any pass, shorter than callers' patience
@@ -39,8 +39,8 @@
     , crashes(settings.crashes)
     , random(std::random_device()())
     , requestDuration(counters, "fulmarlink_request_duration_ms")
-    , firstEvent(counters, "fulmarlink_first_event_ms")
-    , eventPause(counters, "fulmarlink_event_pause_ms")
+    , firstEventDelay(counters, "fulmarlink_first_event_ms")
+    , eventInterval(counters, "fulmarlink_event_pause_ms")
     , limitedSends(counters.registerCounter("fulmarlink_limited_sends_total"))
     , backoffSends(counters.registerCounter("fulmarlink_backoff_sends_total"))
 {
@@ -67,7 +67,7 @@
     return gates[group];
 }
 
-bool GatewayState::standsStill(const std::string &poolName, const std::string &group, TimePoint now)
+bool GatewayState::isGroupStalled(const std::string &poolName, const std::string &group, TimePoint now)
 {
     const PoolGate &gate = pool(poolName).gate(group);
     const TimePoint sign = gate.lastActivity();
@@ -78,24 +78,24 @@
     return now - sign > std::max(kStandstill, usual);
 }
 
-Duration GatewayState::sharedWritePause() const
+Duration GatewayState::sharedWriteInterval() const
 {
-    return Duration(std::chrono::seconds(1)) * entries / kSharedWrites;
+    return Duration(std::chrono::seconds(1)) * entries / kSharedWritesPerSecond;
 }
 
-Duration GatewayState::keyProofLimit() const
+Duration GatewayState::maxKeyProofAge() const
 {
     return settings.revokeBound - kRevokeMargin;
 }
 
-bool GatewayState::proofAges(TimePoint now) const
+bool GatewayState::proofIsStale(TimePoint now) const
 {
     return config.age(now) > kReadyProof;
 }
 
-bool GatewayState::keysProved(TimePoint now) const
+bool GatewayState::keyProofValid(TimePoint now) const
 {
-    return config.age(now) < keyProofLimit() || mutated(Mutation::ForgetProofAge);
+    return config.age(now) < maxKeyProofAge() || mutated(Mutation::ForgetProofAge);
 }
 
 } // namespace fulmarlink
--- a/fulmarlink/gatewaystate.h
+++ b/fulmarlink/gatewaystate.h
@@ -41,31 +41,31 @@
 
     WindowBudget budget;
     std::map<std::string, PoolGate> gates; ///< by group name
-    RetryAfterPacer returns; ///< of callers that were sent away since its runners want no request now
+    RetryAfterPacer retryAfterPacer; ///< of callers that were sent away since its runners want no request now
     ServiceTime serviceTime;
 };
 
 /** What all requests of one entry's process share. Used by one thread. */
 struct GatewayState {
     /** Assumed until the list of entries has been read, so that an entry that has just started takes a small part of a budget. */
-    static constexpr unsigned kEntriesUnknown = 16;
+    static constexpr unsigned kAssumedEntries = 16;
 
-    static constexpr unsigned kSharedWrites = 100; ///< a quarter of the rate of a small store
+    static constexpr unsigned kSharedWritesPerSecond = 100; ///< a quarter of the rate of a small store
 
     GatewayState(GatewaySettings theSettings, const Clock &theClock, Counters &theCounters, const CallerProtocol &theProtocol);
 
     PoolState &pool(const std::string &name);
     /** Requests are open at the group's runners, and none of them has moved for long. */
-    bool standsStill(const std::string &poolName, const std::string &group, TimePoint now);
+    bool isGroupStalled(const std::string &poolName, const std::string &group, TimePoint now);
     WindowBudgetOptions budgetOptions() const;
-    /** Between two records that this host writes for the others: all hosts together write kSharedWrites a second at most. */
-    Duration sharedWritePause() const;
+    /** Between two records that this host writes for the others: all hosts together write kSharedWritesPerSecond a second at most. */
+    Duration sharedWriteInterval() const;
     /** A keyed request may only run while the configuration's proof is younger than this. */
-    Duration keyProofLimit() const;
+    Duration maxKeyProofAge() const;
     /** The store has not confirmed the configuration for so long that callers should move to other entries. */
-    bool proofAges(TimePoint now) const;
+    bool proofIsStale(TimePoint now) const;
     /** True if a keyed request that is here now may still be run. */
-    bool keysProved(TimePoint now) const;
+    bool keyProofValid(TimePoint now) const;
 
     GatewaySettings settings;
     const Clock &clock;
@@ -80,17 +80,17 @@
     RunnerSignals signals; ///< what runners have said of the requests that they want
     SignalWatch *signalWatch = nullptr;
     LimitWatch *limitWatch = nullptr;
-    bool crashesKnown = false; ///< what other hosts had written before this process started has been read; no request is taken before
+    bool crashRecordsLoaded = false; ///< what other hosts had written before this process started has been read; no request is taken before
     std::map<std::string, PoolState> pools;
     Random random;
     LatencyHistogram requestDuration; ///< from the last byte of a request to the end of its answer
-    LatencyHistogram firstEvent; ///< of a stream, from the last byte of its request
-    LatencyHistogram eventPause; ///< between two events of a stream
+    LatencyHistogram firstEventDelay; ///< of a stream, from the last byte of its request
+    LatencyHistogram eventInterval; ///< between two events of a stream
     Counters::Id limitedSends; ///< of requests for which a runner had no room left when its connection was open
     Counters::Id backoffSends; ///< the same, since it had asked to back off meanwhile
-    unsigned entries = kEntriesUnknown; ///< entries that live and share budgets and bounds, this one included
-    std::optional<TimePoint> drainBegan; ///< set: the process is leaving
-    unsigned exchanges = 0; ///< requests that are not answered yet
+    unsigned entries = kAssumedEntries; ///< entries that live and share budgets and bounds, this one included
+    std::optional<TimePoint> drainStartedAt; ///< set: the process is leaving
+    unsigned unansweredRequests = 0; ///< requests that are not answered yet
     unsigned groupsOwned = 0; ///< rank groups whose maps this host keeps
 };
 
--- a/fulmarlink/grouplease.cpp
+++ b/fulmarlink/grouplease.cpp
@@ -54,7 +54,7 @@
 asio::awaitable<void> GroupLease::run()
 {
     m_running = true;
-    while (!m_state.drainBegan && !m_stopped) {
+    while (!m_state.drainStartedAt && !m_stopped) {
         if (!m_releasing) {
             co_await step();
         }
--- a/fulmarlink/groupwatch.cpp
+++ b/fulmarlink/groupwatch.cpp
@@ -56,7 +56,7 @@
 {
     boost::system::error_code ignored; // the timer is not cancelled
     asio::steady_timer timer(m_context);
-    while (!m_state.drainBegan) {
+    while (!m_state.drainStartedAt) {
         const std::vector<TargetInfo> targets = runnersToRead();
         if (!targets.empty()) {
             co_await readReports(targets);
--- a/fulmarlink/limitwatch.cpp
+++ b/fulmarlink/limitwatch.cpp
@@ -225,7 +225,7 @@
         if (upToDate) {
             m_pendingRecords.erase(incarnation);
         }
-        co_await sleep(error ? kStoreRetry : m_state.sharedWritePause());
+        co_await sleep(error ? kStoreRetry : m_state.sharedWriteInterval());
     }
 }
 
--- a/testing/admission_test.cpp
+++ b/testing/admission_test.cpp
@@ -53,7 +53,7 @@
     groups.clock.time += 20s;
     groups.addOpenRequest("n0");
     groups.clock.time += 100ms;
-    EXPECT_FALSE(groups.state.standsStill("p", "north", groups.clock.now()));
+    EXPECT_FALSE(groups.state.isGroupStalled("p", "north", groups.clock.now()));
 }
 
 TEST(Admission, StalledGroupIsProbedAndOtherGroupsStayOpen)
--- a/testing/configstate_test.cpp
+++ b/testing/configstate_test.cpp
@@ -90,9 +90,9 @@
     settings.revokeBound = milliseconds(5000);
     GatewayState state(settings, clock, counters, protocol);
     state.config.confirm(at(0));
-    EXPECT_TRUE(state.keysProved(at(4000)));
-    EXPECT_FALSE(state.keysProved(at(4500)));
-    EXPECT_FALSE(state.keysProved(at(60'000))); // as after a suspension of the host
+    EXPECT_TRUE(state.keyProofValid(at(4000)));
+    EXPECT_FALSE(state.keyProofValid(at(4500)));
+    EXPECT_FALSE(state.keyProofValid(at(60'000))); // as after a suspension of the host
 }
 
 TEST(HostClock, DoesNotGoBack)
--- a/testing/crashingrequest_test.cpp
+++ b/testing/crashingrequest_test.cpp
@@ -72,15 +72,15 @@
     ASSERT_TRUE(fleet.start());
     const std::string path = GetParam().path;
     for (unsigned repeat = 0; repeat < 12; ++repeat) {
-        ASSERT_TRUE(fleet.runUntilUp(4));
+        ASSERT_TRUE(fleet.runUntilRunning(4));
         const HttpRequest request = fleet.request(path);
         const Answer answer = fleet.ask(repeat % GetParam().gateways, request);
         const bool reportedNotRun = answer.status == 503 || answer.status == 429;
-        EXPECT_FALSE(reportedNotRun && fleet.ran(std::string(request["Attempt-Id"])));
-        fleet.run(200ms);
+        EXPECT_FALSE(reportedNotRun && fleet.attemptRan(std::string(request["Attempt-Id"])));
+        fleet.runFor(200ms);
     }
-    EXPECT_LE(fleet.crashes(path), kMostCrashes);
-    EXPECT_LE(fleet.arrivals(path), kMostCrashes);
+    EXPECT_LE(fleet.crashCount(path), kMostCrashes);
+    EXPECT_LE(fleet.arrivalCount(path), kMostCrashes);
 }
 
 TEST_P(CrashingRequest, ConcurrentRepeatsReachNoRunnerAfterThreeCrashes)
@@ -89,15 +89,15 @@
     ASSERT_TRUE(fleet.start());
     const std::string path = GetParam().path;
     for (unsigned round = 0; round < 8; ++round) {
-        ASSERT_TRUE(fleet.runUntilUp(4));
+        ASSERT_TRUE(fleet.runUntilRunning(4));
         for (unsigned gateway = 0; gateway < GetParam().gateways; ++gateway) {
             fleet.send(gateway, fleet.request(path));
         }
-        fleet.run(400ms);
+        fleet.runFor(400ms);
     }
-    ASSERT_GE(fleet.crashes(path), 1U);
-    if (fleet.crashes(path) >= kMostCrashes) {
-        EXPECT_EQ(fleet.arrivals(path, fleet.crashedAt(path, kMostCrashes) + kPropagationTime), 0U);
+    ASSERT_GE(fleet.crashCount(path), 1U);
+    if (fleet.crashCount(path) >= kMostCrashes) {
+        EXPECT_EQ(fleet.arrivalCount(path, fleet.crashTime(path, kMostCrashes) + kPropagationTime), 0U);
     }
 }
 
@@ -108,9 +108,9 @@
     GatewayFleet fleet({.gateways = 1, .runners = 1});
     fleet.store.faults.hasty = true;
     ASSERT_TRUE(fleet.start());
-    fleet.run(1500ms);
+    fleet.runFor(1500ms);
     const unsigned before = fleet.store.calls;
-    fleet.run(2000ms);
+    fleet.runFor(2000ms);
     EXPECT_LE(fleet.store.calls - before, 40U);
 }
 
@@ -123,9 +123,9 @@
 void sendRepeats(GatewayFleet &fleet, unsigned repeats, unsigned gateways, const std::string &path = kStream)
 {
     for (unsigned i = 0; i < repeats; ++i) {
-        ASSERT_TRUE(fleet.runUntilUp(4));
+        ASSERT_TRUE(fleet.runUntilRunning(4));
         fleet.ask(i % gateways, fleet.request(path));
-        fleet.run(200ms);
+        fleet.runFor(200ms);
     }
 }
 
@@ -153,8 +153,8 @@
     EXPECT_TRUE(answer.whole);
     EXPECT_EQ(answer["Fulmarlink-Result"], "135 request-ends-runners");
     EXPECT_GT(std::stod(answer["Retry-After"]), 60.0);
-    EXPECT_FALSE(fleet.ran(std::string(request["Attempt-Id"])));
-    EXPECT_EQ(fleet.count("fulmarlink_requests_held_back"), 5U) << "one on each host";
+    EXPECT_FALSE(fleet.attemptRan(std::string(request["Attempt-Id"])));
+    EXPECT_EQ(fleet.counterSum("fulmarlink_requests_held_back"), 5U) << "one on each host";
 }
 
 TEST(CrashingRequestAnswers, AttemptOnACrashedRunnerReportsItAndIsNotRetried)
@@ -164,7 +164,7 @@
     const Answer answer = fleet.ask(0, fleet.request("/again/crash"));
     EXPECT_EQ(answer.status, 502U);
     EXPECT_EQ(answer["Fulmarlink-Result"], "214 runner-ended");
-    EXPECT_EQ(fleet.arrivals("/again/crash"), 1U);
+    EXPECT_EQ(fleet.arrivalCount("/again/crash"), 1U);
 }
 
 TEST(CrashingRequestKey, RequestsOfOtherPathsBodiesOrCustomersAreNotHeldBack)
@@ -172,14 +172,14 @@
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
     sendRepeats(fleet, 4, 5);
-    ASSERT_LE(fleet.crashes(kStream), kMostCrashes);
-    ASSERT_TRUE(fleet.runUntilUp(6));
-    const std::size_t before = fleet.arrivals(kStream);
+    ASSERT_LE(fleet.crashCount(kStream), kMostCrashes);
+    ASSERT_TRUE(fleet.runUntilRunning(6));
+    const std::size_t before = fleet.arrivalCount(kStream);
     fleet.ask(0, fleet.request(kStream, "another body"));
-    EXPECT_EQ(fleet.arrivals(kStream), before + 1) << "a different body is a different request";
-    ASSERT_TRUE(fleet.runUntilUp(4));
+    EXPECT_EQ(fleet.arrivalCount(kStream), before + 1) << "a different body is a different request";
+    ASSERT_TRUE(fleet.runUntilRunning(4));
     fleet.ask(1, fleet.request(kStream, "text", "other-key"));
-    EXPECT_EQ(fleet.arrivals(kStream), before + 2) << "another customer's request is a different request";
+    EXPECT_EQ(fleet.arrivalCount(kStream), before + 2) << "another customer's request is a different request";
     EXPECT_EQ(fleet.ask(2, fleet.request("/stream/fine")).status, 200U);
     EXPECT_EQ(fleet.ask(3, fleet.request("/again/fine")).status, 200U);
 }
@@ -189,35 +189,35 @@
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
     for (unsigned i = 0; i < 10; ++i) {
-        ASSERT_TRUE(fleet.runUntilUp(4));
+        ASSERT_TRUE(fleet.runUntilRunning(4));
         fleet.send(i % 5, fleet.request("/stream/crash-1"));
         fleet.send((i + 2) % 5, fleet.request("/again/crash-2"));
-        fleet.run(300ms);
+        fleet.runFor(300ms);
     }
-    EXPECT_LE(fleet.arrivals("/stream/crash-1"), kMostCrashes);
-    EXPECT_LE(fleet.arrivals("/again/crash-2"), kMostCrashes);
+    EXPECT_LE(fleet.arrivalCount("/stream/crash-1"), kMostCrashes);
+    EXPECT_LE(fleet.arrivalCount("/again/crash-2"), kMostCrashes);
 }
 
 // Callers keep sending the same status request while runners crash for other reasons.
 TEST(CrashingRequestLoad, UnrelatedCrashesHoldNoRequestBack)
 {
-    GatewayFleet fleet({.runners = 8, .work = 10ms});
+    GatewayFleet fleet({.runners = 8, .workTime = 10ms});
     ASSERT_TRUE(fleet.start());
     unsigned sent = 0;
     for (unsigned round = 0; round < 12; ++round) {
-        ASSERT_TRUE(fleet.runUntilUp(6));
+        ASSERT_TRUE(fleet.runUntilRunning(6));
         for (unsigned i = 0; i < 20; ++i) {
             fleet.send(i % 5, fleet.request("/again/status"));
             fleet.send(i % 5, fleet.request("/stream/own", "body " + std::to_string(++sent)));
         }
-        fleet.run(8ms);
+        fleet.runFor(8ms);
         fleet.crashRunner(round % 8);
         fleet.crashRunner((round + 3) % 8);
-        fleet.run(250ms);
-        EXPECT_EQ(fleet.count("fulmarlink_requests_held_back"), 0U) << clearedRecordNames(fleet);
+        fleet.runFor(250ms);
+        EXPECT_EQ(fleet.counterSum("fulmarlink_requests_held_back"), 0U) << clearedRecordNames(fleet);
     }
-    EXPECT_GT(fleet.count("fulmarlink_runners_ended_total"), 10U);
-    ASSERT_TRUE(fleet.runUntilUp(8));
+    EXPECT_GT(fleet.counterSum("fulmarlink_runners_ended_total"), 10U);
+    ASSERT_TRUE(fleet.runUntilRunning(8));
     for (unsigned gateway = 0; gateway < 5; ++gateway) {
         EXPECT_EQ(fleet.ask(gateway, fleet.request("/again/status")).status, 200U);
     }
@@ -226,18 +226,18 @@
 // The last packets of a crashed runner are lost, so other attempts on it still look in progress.
 TEST(CrashingRequestLoad, CrashIsDetectedWhenOtherConnectionsSeeNoReset)
 {
-    GatewayFleet fleet({.runners = 8, .sameId = false, .back = 1500ms, .lossy = true, .work = 60ms});
+    GatewayFleet fleet({.runners = 8, .sameId = false, .restartDelay = 1500ms, .silentCrash = true, .workTime = 60ms});
     ASSERT_TRUE(fleet.start());
     for (unsigned i = 0; i < 8; ++i) {
-        ASSERT_TRUE(fleet.runUntilUp(6));
+        ASSERT_TRUE(fleet.runUntilRunning(6));
         for (unsigned j = 0; j < 16; ++j) {
             fleet.send(0, fleet.request("/stream/own", std::to_string(100 * i + j)));
         }
-        fleet.run(20ms);
+        fleet.runFor(20ms);
         fleet.ask(0, fleet.request(kStream));
-        fleet.run(800ms);
+        fleet.runFor(800ms);
     }
-    EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
+    EXPECT_LE(fleet.arrivalCount(kStream), kMostCrashes);
 }
 
 TEST(CrashingRequestLoad, ResetConnectionDoesNotCountAsCrash)
@@ -247,7 +247,7 @@
     for (unsigned i = 0; i < 6; ++i) {
         EXPECT_EQ(fleet.ask(i % 5, fleet.request("/again/reset")).status, 200U);
     }
-    EXPECT_EQ(fleet.count("fulmarlink_runners_ended_total"), 0U);
+    EXPECT_EQ(fleet.counterSum("fulmarlink_runners_ended_total"), 0U);
     EXPECT_EQ(fleet.store.names("fulmarlink-crashes").size(), 0U) << "nothing is written unless a runner ends";
 }
 
@@ -256,32 +256,32 @@
     GatewayFleet fleet({.gateways = 3});
     ASSERT_TRUE(fleet.start());
     for (unsigned i = 0; i < 9; ++i) {
-        ASSERT_TRUE(fleet.runUntilUp(4));
+        ASSERT_TRUE(fleet.runUntilRunning(4));
         fleet.ask(i % 3, fleet.request(kStream));
-        fleet.run(250ms);
+        fleet.runFor(250ms);
         fleet.killGateway(i % 3);
-        fleet.run(50ms);
+        fleet.runFor(50ms);
         fleet.startGateway(i % 3);
-        fleet.run(300ms);
+        fleet.runFor(300ms);
     }
-    EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
+    EXPECT_LE(fleet.arrivalCount(kStream), kMostCrashes);
 }
 
 TEST(CrashingRequestHosts, OneHostRunsOneTrialAfterTheHoldTimeWhateverTheArrivals)
 {
-    GatewayFleet fleet({.runners = 8, .hold = 1000ms});
+    GatewayFleet fleet({.runners = 8, .holdTime = 1000ms});
     ASSERT_TRUE(fleet.start());
     sendRepeats(fleet, 2, 2);
-    ASSERT_EQ(fleet.crashes(kStream), 2U);
-    ASSERT_TRUE(fleet.runUntilUp(8));
-    fleet.run(1000ms);
+    ASSERT_EQ(fleet.crashCount(kStream), 2U);
+    ASSERT_TRUE(fleet.runUntilRunning(8));
+    fleet.runFor(1000ms);
     for (unsigned i = 0; i < 20; ++i) { // at all hosts at once, repeatedly
         for (unsigned gateway = 0; gateway < 5; ++gateway) {
             fleet.send(gateway, fleet.request(kStream));
         }
-        fleet.run(150ms);
+        fleet.runFor(150ms);
     }
-    EXPECT_EQ(fleet.arrivals(kStream), kMostCrashes) << "two crashes and one trial";
+    EXPECT_EQ(fleet.arrivalCount(kStream), kMostCrashes) << "two crashes and one trial";
 }
 
 TEST(CrashingRequestHosts, OperatorReleaseTakesEffectOnAllHosts)
@@ -304,12 +304,12 @@
                                         {"written_ms", 1'900'000'000'000},
                                         {"lives", lives},
                                         {"suspects", boost::json::array{boost::json::object{{"fingerprint", fingerprint}}}}});
-    fleet.run(300ms);
-    ASSERT_TRUE(fleet.runUntilUp(6));
-    const std::size_t before = fleet.arrivals(kStream);
+    fleet.runFor(300ms);
+    ASSERT_TRUE(fleet.runUntilRunning(6));
+    const std::size_t before = fleet.arrivalCount(kStream);
     fleet.ask(3, fleet.request(kStream));
-    EXPECT_EQ(fleet.arrivals(kStream), before + 1);
-    EXPECT_EQ(fleet.count("fulmarlink_requests_held_back"), 0U);
+    EXPECT_EQ(fleet.arrivalCount(kStream), before + 1);
+    EXPECT_EQ(fleet.counterSum("fulmarlink_requests_held_back"), 0U);
 }
 
 TEST(CrashingRequestHosts, RecordsSurviveARestartOfAllHosts)
@@ -323,9 +323,9 @@
     for (unsigned gateway = 0; gateway < 3; ++gateway) {
         fleet.startGateway(gateway);
     }
-    fleet.run(500ms);
+    fleet.runFor(500ms);
     sendRepeats(fleet, 6, 3);
-    EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
+    EXPECT_LE(fleet.arrivalCount(kStream), kMostCrashes);
 }
 
 namespace
@@ -354,14 +354,14 @@
     ASSERT_TRUE(fleet.start());
     GetParam().injectFault(fleet);
     sendRepeats(fleet, 3, 1); // at one host, which needs no store to know its own crashes
-    EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
+    EXPECT_LE(fleet.arrivalCount(kStream), kMostCrashes);
     fleet.store.faults = {};
     for (const auto &proxy : fleet.storeProxies) {
         proxy->setMode(ProxyMode::Pass);
     }
-    fleet.run(3000ms);
+    fleet.runFor(3000ms);
     sendRepeats(fleet, 8, 5);
-    EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
+    EXPECT_LE(fleet.arrivalCount(kStream), kMostCrashes);
 }
 
 INSTANTIATE_TEST_SUITE_P(Store,
@@ -419,7 +419,7 @@
     ASSERT_TRUE(fleet.start());
     EXPECT_EQ(fleet.ask(0, fleet.request("/again/fine")).status, 200U);
     sendRepeats(fleet, 6, 3);
-    EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
+    EXPECT_LE(fleet.arrivalCount(kStream), kMostCrashes);
 }
 
 // The store announces no changes: records written meanwhile are found by the periodic full read.
@@ -429,9 +429,9 @@
     ASSERT_TRUE(fleet.start());
     fleet.store.faults.deaf = true;
     sendRepeats(fleet, 2, 1);
-    fleet.run(11s);
+    fleet.runFor(11s);
     EXPECT_EQ(fleet.ask(4, fleet.request(kStream)).status, 503U);
-    EXPECT_LE(fleet.arrivals(kStream), 2U);
+    EXPECT_LE(fleet.arrivalCount(kStream), 2U);
 }
 
 } // namespace fulmarlink::testing
--- a/testing/expertmapcontroller_test.cpp
+++ b/testing/expertmapcontroller_test.cpp
@@ -87,7 +87,7 @@
     ~ExpertMapControllerTest() override
     {
         if (state) {
-            state->drainBegan = clock.now();
+            state->drainStartedAt = clock.now();
             group->stop();
             context.run_for(500ms);
         }
@@ -131,7 +131,7 @@
         },
         5s));
     EXPECT_FALSE(controller->ended());
-    state->drainBegan = clock.now();
+    state->drainStartedAt = clock.now();
     ASSERT_TRUE(runUntil(
         [this] {
             return controller->ended();
--- a/testing/faultisolation_test.cpp
+++ b/testing/faultisolation_test.cpp
@@ -191,12 +191,12 @@
         options.store = settings.store;
         auto throwing = std::make_unique<ThrowingPlatform>(std::make_unique<PlatformClient>(context.get_executor(), clock, counters, options));
         platform = throwing.get();
-        GatewayEdges edges;
-        edges.protocol = std::make_unique<ThrowingProtocol>();
-        edges.platform = std::move(throwing);
+        GatewayAdapters adapters;
+        adapters.protocol = std::make_unique<ThrowingProtocol>();
+        adapters.platform = std::move(throwing);
         settings.leavingBound = 500ms;
         settings.configurationBound = 500ms;
-        gateway = std::make_unique<Gateway>(context, settings, counters, std::move(edges));
+        gateway = std::make_unique<Gateway>(context, settings, counters, std::move(adapters));
         gateway->start();
         ASSERT_TRUE(runUntil(
             [this] {
@@ -229,7 +229,7 @@
 
 TEST_F(FaultIsolation, StoreReadsAreRepeatedAfterAnException)
 {
-    joinGroups("north", "south");
+    reportGroups("north", "south");
     startWithThrowingEdges();
     context.run_for(600ms);
     for (bool *requested : {&platform->throwOnConfiguration,
@@ -263,7 +263,7 @@
 
 TEST_F(FaultIsolation, MapLeadershipRecoversFromAnException)
 {
-    joinGroups("north", "south");
+    reportGroups("north", "south");
     startWithThrowingEdges();
     const auto owned = [this] {
         return counters.text().find("fulmarlink_map_leader 2\n") != std::string::npos;
--- a/testing/gateway_test.cpp
+++ b/testing/gateway_test.cpp
@@ -22,7 +22,7 @@
     EXPECT_TRUE(answer.whole);
     EXPECT_EQ(answer.body, "from " + answer["Server-Seal"]);
     EXPECT_EQ(answer["Attempt-Id"], "attempt-1");
-    const HttpRequest &seen = lastSeen();
+    const HttpRequest &seen = lastRequest();
     EXPECT_EQ(seen["Tenant"], "customer");
     EXPECT_EQ(seen[http::field::authorization], "");
     EXPECT_EQ(seen.target(), "/once/x?q=1");
@@ -37,18 +37,18 @@
     EXPECT_EQ(ask(request("/once/x", "stolen")).status, 401U);
     EXPECT_EQ(ask(request("/once/x", "")).status, 401U);
     EXPECT_EQ(ask(request("/open/x", "")).status, 200U);
-    EXPECT_EQ(runs(), 1U);
+    EXPECT_EQ(ranRequests(), 1U);
 }
 
 TEST_F(GatewayTest, WithoutAConfigurationItIsNotReadyAndSaysNotRun)
 {
     store.remove("config", "main");
-    GatewayEdges edges;
-    edges.protocol = std::make_unique<PlatformProtocol>();
+    GatewayAdapters adapters;
+    adapters.protocol = std::make_unique<PlatformProtocol>();
     PlatformClientOptions options;
     options.store = settings.store;
-    edges.platform = std::make_unique<PlatformClient>(context.get_executor(), clock, counters, options);
-    gateway = std::make_unique<Gateway>(context, settings, counters, std::move(edges));
+    adapters.platform = std::make_unique<PlatformClient>(context.get_executor(), clock, counters, options);
+    gateway = std::make_unique<Gateway>(context, settings, counters, std::move(adapters));
     gateway->start();
     const Answer answer = ask(request("/once/x"));
     EXPECT_EQ(answer.status, 503U);
@@ -66,10 +66,10 @@
 {
     start();
     for (const RunnerAct act : {RunnerAct::ResetUnanswered, RunnerAct::Truncated, RunnerAct::Unsealed, RunnerAct::Garbage, RunnerAct::Fail}) {
-        const std::size_t before = runs();
-        first(act);
+        const std::size_t before = ranRequests();
+        setActForFirstRequest(act);
         const Answer answer = ask(request("/once/x"));
-        EXPECT_EQ(runs(), before + 1) << static_cast<int>(act);
+        EXPECT_EQ(ranRequests(), before + 1) << static_cast<int>(act);
         EXPECT_EQ(answer.status, act == RunnerAct::Fail ? 500U : 502U) << static_cast<int>(act);
     }
 }
@@ -77,12 +77,12 @@
 TEST_F(GatewayTest, ASilentRunnerOfWhatMayRunOnceEndsInTimeAsUnknown)
 {
     start();
-    both(RunnerAct::Silent);
+    setActForBoth(RunnerAct::Silent);
     const auto began = std::chrono::steady_clock::now();
     const Answer answer = ask(request("/once/x"));
     const auto took = std::chrono::steady_clock::now() - began;
     EXPECT_EQ(answer.status, 504U);
-    EXPECT_EQ(runs(), 1U);
+    EXPECT_EQ(ranRequests(), 1U);
     EXPECT_LT(took, 1400ms);
 }
 
@@ -91,7 +91,7 @@
     start();
     for (const RunnerAct act :
          {RunnerAct::ResetUnanswered, RunnerAct::Truncated, RunnerAct::Unsealed, RunnerAct::Garbage, RunnerAct::Fail, RunnerAct::Silent}) {
-        first(act);
+        setActForFirstRequest(act);
         const Answer answer = ask(request("/again/x"));
         EXPECT_EQ(answer.status, 200U) << static_cast<int>(act);
         EXPECT_TRUE(answer.whole);
@@ -101,33 +101,33 @@
 TEST_F(GatewayTest, ARefusalIsTriedElsewhereAndThenSaidAsNotRun)
 {
     start();
-    first(RunnerAct::Refuse);
+    setActForFirstRequest(RunnerAct::Refuse);
     EXPECT_EQ(ask(request("/once/x")).status, 200U);
-    EXPECT_EQ(runs(), 1U);
-    both(RunnerAct::Refuse);
+    EXPECT_EQ(ranRequests(), 1U);
+    setActForBoth(RunnerAct::Refuse);
     const Answer answer = ask(request("/once/x"));
     EXPECT_EQ(answer.status, 503U);
     EXPECT_NE(answer["Retry-After"], "");
     EXPECT_EQ(answer["Server-Seal"], "");
-    EXPECT_EQ(runs(), 1U);
+    EXPECT_EQ(ranRequests(), 1U);
 }
 
 TEST_F(GatewayTest, AnAddressThatAnotherRunnerHasNowRunsNothing)
 {
     start();
     addresses["i-c"] = addresses["i-a"];
-    list("i-c");
+    listRunner("i-c");
     store.remove("servers", "i-a");
     store.remove("servers", "i-b");
     context.run_for(1300ms);
     EXPECT_EQ(ask(request("/once/x")).status, 503U);
-    EXPECT_EQ(runs(), 0U);
+    EXPECT_EQ(ranRequests(), 0U);
 }
 
 TEST_F(GatewayTest, AnAnswerToAnotherRequestIsPassedOver)
 {
     start();
-    both(RunnerAct::Foreign);
+    setActForBoth(RunnerAct::Foreign);
     const Answer answer = ask(request("/once/x"));
     EXPECT_EQ(answer.status, 200U);
     EXPECT_TRUE(answer.body.starts_with("from ")) << answer.body;
@@ -137,14 +137,14 @@
 {
     const ScopedMutation mutation(Mutation::TrustForeignAnswer);
     start();
-    both(RunnerAct::Foreign);
+    setActForBoth(RunnerAct::Foreign);
     EXPECT_EQ(ask(request("/once/x")).body, "wrong");
 }
 
 TEST_F(GatewayTest, ASecondAnswerReachesNobody)
 {
     start();
-    both(RunnerAct::Extra);
+    setActForBoth(RunnerAct::Extra);
     for (int i = 0; i < 6; ++i) {
         const Answer answer = ask(request("/once/x"));
         EXPECT_EQ(answer.status, 200U);
@@ -155,7 +155,7 @@
 TEST_F(GatewayTest, AnAnswerWithoutLengthIsWholeWhenItsConnectionEnds)
 {
     start();
-    both(RunnerAct::Unframed);
+    setActForBoth(RunnerAct::Unframed);
     const Answer answer = ask(request("/once/x"));
     EXPECT_EQ(answer.status, 200U);
     EXPECT_TRUE(answer.body.starts_with("from "));
@@ -164,7 +164,7 @@
 TEST_F(GatewayTest, ABrokenStreamGoesOnBehindItsLastWholeEvent)
 {
     start();
-    first(RunnerAct::CutStream);
+    setActForFirstRequest(RunnerAct::CutStream);
     const Answer answer = ask(request("/stream/x"));
     std::string expected;
     for (int i = 0; i < 6; ++i) {
@@ -173,17 +173,17 @@
     EXPECT_EQ(answer.status, 200U);
     EXPECT_TRUE(answer.whole);
     EXPECT_EQ(answer.body, expected);
-    EXPECT_EQ(runs(), 2U);
+    EXPECT_EQ(ranRequests(), 2U);
 }
 
 TEST_F(GatewayTest, AStreamThatCanNotGoOnDoesNotLookWhole)
 {
     start();
-    both(RunnerAct::CutStream);
+    setActForBoth(RunnerAct::CutStream);
     const Answer answer = ask(request("/stream/x"));
     EXPECT_EQ(answer.status, 200U);
     EXPECT_FALSE(answer.whole);
-    EXPECT_EQ(runs(), 2U); // max_attempts
+    EXPECT_EQ(ranRequests(), 2U); // max_attempts
 }
 
 TEST_F(GatewayTest, ACallerThatLeavesEndsTheRunnersWork)
@@ -203,7 +203,7 @@
         asio::write(socket, asio::buffer(text.str()));
         runUntil(
             [this] {
-                return runs() == 1;
+                return ranRequests() == 1;
             },
             2s);
         context.run_for(100ms);
@@ -227,9 +227,9 @@
     EXPECT_EQ(ask(request("/once/x", "fresh")).status, 200U);
     store.set("config", "main", json::parse(kConfiguration)); // an older version comes late
     context.run_for(1500ms);
-    const std::size_t before = runs();
+    const std::size_t before = ranRequests();
     EXPECT_NE(ask(request("/once/x", "key")).status, 200U);
-    EXPECT_EQ(runs(), before);
+    EXPECT_EQ(ranRequests(), before);
 }
 
 TEST_F(GatewayTest, AMalformedConfigurationLeavesTheLastGoodOneInForce)
@@ -285,7 +285,7 @@
 
 TEST_F(GatewayTest, AnEngineThatComesAndGoesWithTheConfigurationStopsNothing)
 {
-    joinGroups("g", "g");
+    reportGroups("g", "g");
     start();
     json::value next = json::parse(kConfiguration);
     next.at("version") = 9;
@@ -307,7 +307,7 @@
 TEST_F(GatewayTest, ALeavingRunnerGetsNoMoreWork)
 {
     start();
-    list("i-a", "draining");
+    listRunner("i-a", "draining");
     context.run_for(1500ms);
     const std::size_t before = a.seen.size();
     for (int i = 0; i < 8; ++i) {
@@ -338,7 +338,7 @@
     asio::co_spawn(context, callOnce(context, settings.callers, request("/once/x"), answer, done), asio::detached);
     runUntil(
         [this] {
-            return runs() == 1;
+            return ranRequests() == 1;
         },
         2s);
     gateway->startDrain();
@@ -382,7 +382,7 @@
     EXPECT_EQ(raw("POST /open/ HTTP/1.1\r\nHost: h.example\r\nContent-Length: 5000\r\n\r\n" + std::string(5000, 'x')), "HTTP/1.1 413");
     EXPECT_EQ(raw("POST /open/ HTTP/1.1\r\nHost: h.exa"), "HTTP/1.1 408");
     EXPECT_EQ(raw("POST /once/ HTTP/1.1\r\nHost: h.example\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), "HTTP/1.1 400");
-    EXPECT_EQ(runs(), 0U);
+    EXPECT_EQ(ranRequests(), 0U);
 }
 
 // The load: one rank of a group works far below its speed; the owner of the group's map says so.
@@ -393,7 +393,7 @@
         store.set("fulmarlink-leases", "plain.g", json::object{{"holder", "other"}, {"renewals", renewals}, {"slow", slow}});
     };
     lease(1, {});
-    joinGroups("g", "g");
+    reportGroups("g", "g");
     a.events = kEvents;
     b.events = kEvents;
     a.work = 40ms;
@@ -404,7 +404,7 @@
     asio::co_spawn(context, callOnce(context, settings.callers, request("/stream/x"), answer, done), asio::detached);
     ASSERT_TRUE(runUntil(
         [this] {
-            return runs() == 1;
+            return ranRequests() == 1;
         },
         2s));
     context.run_for(200ms);
@@ -421,7 +421,7 @@
     }
     EXPECT_TRUE(answer->whole);
     EXPECT_EQ(answer->body, expected);
-    EXPECT_EQ(runs(), 2U);
+    EXPECT_EQ(ranRequests(), 2U);
     EXPECT_EQ(a.abandoned + b.abandoned, 1U);
 }
 
--- a/testing/gatewaygroups_test.cpp
+++ b/testing/gatewaygroups_test.cpp
@@ -15,7 +15,7 @@
     /** Starts with each runner as a group of its own. */
     void startGroups()
     {
-        joinGroups("north", "south");
+        reportGroups("north", "south");
         start();
         ASSERT_TRUE(runUntil(
             [this] {
@@ -94,7 +94,7 @@
 // A restarted runner with the same id has none of the connections of its previous incarnation.
 TEST_F(GatewayGroupsTest, RestartedRunnerWithTheSameIdGetsNewConnections)
 {
-    list("i-b", "draining");
+    listRunner("i-b", "draining");
     const auto setStartTime = [this](std::uint64_t startTime) {
         json::object entry = standins::runnerEntry("plain", addresses["i-a"], 4);
         entry["born"] = startTime;
@@ -150,7 +150,7 @@
     EXPECT_EQ(b.seen.size(), 0U);
     EXPECT_NE(counters.text().find("fulmarlink_malformed_targets " + std::to_string(malformed.size() + 1) + '\n'), std::string::npos) << counters.text();
     store.spoil = true; // returns an item that is not text in any encoding
-    list("i-b");
+    listRunner("i-b");
     EXPECT_TRUE(runUntil(
         [this] {
             return ask(request("/once/x")).status == 200 && !b.ran.empty();
--- a/testing/gatewaymutation_test.cpp
+++ b/testing/gatewaymutation_test.cpp
@@ -71,7 +71,7 @@
     const PlatformProtocol protocol;
     GatewayState state(GatewaySettings(), clock, counters, protocol);
     state.config.confirm(at(0));
-    return !state.keysProved(at(60'000));
+    return !state.keyProofValid(at(60'000));
 }
 
 bool leavingRunnersRest()
--- a/testing/gatewayserver_test.cpp
+++ b/testing/gatewayserver_test.cpp
@@ -36,7 +36,7 @@
         empty.version = 1;
         state->config.offer(std::move(empty));
         state->config.confirm(clock.now());
-        state->crashesKnown = true;
+        state->crashRecordsLoaded = true;
         server = std::make_unique<GatewayServer>(context.get_executor(), *state);
         server->listen();
         caller.connect({asio::ip::make_address("127.0.0.1"), settings.callers.port});
--- a/testing/harness/fleetload.cpp
+++ b/testing/harness/fleetload.cpp
@@ -44,7 +44,7 @@
 
 bool FleetLoad::ran(std::size_t index) const
 {
-    return m_fleet.ran(std::string(m_requests[index]["Attempt-Id"]));
+    return m_fleet.attemptRan(std::string(m_requests[index]["Attempt-Id"]));
 }
 
 } // namespace fulmarlink::testing
--- a/testing/harness/gatewayfixture.h
+++ b/testing/harness/gatewayfixture.h
@@ -58,24 +58,24 @@
         addresses["i-a"] = a.listen();
         addresses["i-b"] = b.listen();
         store.set("config", "main", json::parse(kConfiguration));
-        list("i-a");
-        list("i-b");
+        listRunner("i-a");
+        listRunner("i-b");
     }
 
-    void list(const std::string &id, const std::string &state = "ready")
+    void listRunner(const std::string &id, const std::string &state = "ready")
     {
         store.set("servers", id, standins::runnerEntry("plain", addresses[id], 4, state));
     }
 
     void start()
     {
-        GatewayEdges edges;
-        edges.protocol = std::make_unique<PlatformProtocol>();
+        GatewayAdapters adapters;
+        adapters.protocol = std::make_unique<PlatformProtocol>();
         PlatformClientOptions options;
         options.store = settings.store;
         options.storeTimeout = 200ms;
-        edges.platform = std::make_unique<PlatformClient>(context.get_executor(), clock, counters, options);
-        gateway = std::make_unique<Gateway>(context, settings, counters, std::move(edges));
+        adapters.platform = std::make_unique<PlatformClient>(context.get_executor(), clock, counters, options);
+        gateway = std::make_unique<Gateway>(context, settings, counters, std::move(adapters));
         gateway->start();
         ASSERT_TRUE(runUntil(
             [this] {
@@ -122,7 +122,7 @@
     }
 
     /** Both runners do the same with every request. */
-    void both(RunnerAct act)
+    void setActForBoth(RunnerAct act)
     {
         for (PlatformRunner *runner : {&a, &b}) {
             runner->act = [act](const HttpRequest &) {
@@ -132,7 +132,7 @@
     }
 
     /** The first request at any runner is treated so, the others are answered. */
-    void first(RunnerAct act)
+    void setActForFirstRequest(RunnerAct act)
     {
         auto used = std::make_shared<bool>(false);
         for (PlatformRunner *runner : {&a, &b}) {
@@ -143,7 +143,7 @@
     }
 
     /** The runners report that they are the only ranks of these groups; an empty name: of none. */
-    void joinGroups(const std::string &groupOfA, const std::string &groupOfB)
+    void reportGroups(const std::string &groupOfA, const std::string &groupOfB)
     {
         const auto join = [](PlatformRunner &runner, const std::string &group) {
             if (!group.empty()) {
@@ -157,12 +157,12 @@
         store.set("config", "main", grouped);
     }
 
-    std::size_t runs() const
+    std::size_t ranRequests() const
     {
         return a.ran.size() + b.ran.size();
     }
 
-    const HttpRequest &lastSeen() const
+    const HttpRequest &lastRequest() const
     {
         return a.seen.empty() ? b.seen.back() : a.seen.back();
     }
--- a/testing/harness/gatewayfleet.cpp
+++ b/testing/harness/gatewayfleet.cpp
@@ -67,8 +67,8 @@
     for (unsigned i = 0; i < options.runners; ++i) {
         m_runners.push_back(std::make_unique<PlatformRunner>(context, "i-" + std::to_string(i)));
         PlatformRunner &runner = *m_runners.back();
-        runner.work = options.work;
-        runner.lossy = options.lossy;
+        runner.work = options.workTime;
+        runner.lossy = options.silentCrash;
         runner.act = [this, i](const HttpRequest &request) {
             return choose(i, request);
         };
@@ -92,7 +92,7 @@
         settings.store = storeProxies.back()->listen();
         settings.leavingBound = 500ms;
         settings.retrySlack = 10'000;
-        settings.crashes.holdTime = options.hold;
+        settings.crashes.holdTime = options.holdTime;
     }
 }
 
@@ -105,7 +105,7 @@
     store.set("servers", m_runners[runner]->id(), entry);
 }
 
-void GatewayFleet::refuse(unsigned index, double share, const std::string &retryAfter)
+void GatewayFleet::setRefusals(unsigned index, double share, const std::string &retryAfter)
 {
     m_refusedShare[index] = share;
     m_runners[index]->retryAfter = retryAfter;
@@ -169,7 +169,7 @@
 {
     boost::system::error_code ignored; // the timers are not cancelled
     const std::string before = m_runners[runner]->id();
-    asio::steady_timer timer(context, m_options.back);
+    asio::steady_timer timer(context, m_options.restartDelay);
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     if (!m_options.sameId) {
         m_runners[runner]->setId(before + "x");
@@ -178,7 +178,7 @@
     m_up[runner] = true;
     list(runner);
     if (!m_options.sameId) {
-        timer.expires_after(std::max(m_options.lapse - m_options.back, 0ms));
+        timer.expires_after(std::max(m_options.entryExpiry - m_options.restartDelay, 0ms));
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         store.remove("servers", before);
     }
@@ -205,10 +205,10 @@
     host.context = std::make_unique<asio::io_context>(1);
     PlatformClientOptions options;
     options.store = host.settings.store;
-    GatewayEdges edges;
-    edges.protocol = std::make_unique<PlatformProtocol>();
-    edges.platform = std::make_unique<PlatformClient>(host.context->get_executor(), m_clock, *host.counters, options);
-    host.gateway = std::make_unique<Gateway>(*host.context, host.settings, *host.counters, std::move(edges));
+    GatewayAdapters adapters;
+    adapters.protocol = std::make_unique<PlatformProtocol>();
+    adapters.platform = std::make_unique<PlatformClient>(host.context->get_executor(), m_clock, *host.counters, options);
+    host.gateway = std::make_unique<Gateway>(*host.context, host.settings, *host.counters, std::move(adapters));
     host.gateway->start();
 }
 
@@ -267,7 +267,7 @@
     }
 }
 
-void GatewayFleet::run(std::chrono::milliseconds time)
+void GatewayFleet::runFor(std::chrono::milliseconds time)
 {
     runUntil(
         [] {
@@ -276,11 +276,11 @@
         time);
 }
 
-bool GatewayFleet::runUntilUp(unsigned runners)
+bool GatewayFleet::runUntilRunning(unsigned runners)
 {
     return runUntil(
         [this, runners] {
-            return up() >= runners;
+            return runningRunners() >= runners;
         },
         kReadyLimit);
 }
@@ -295,23 +295,23 @@
     return m_requestsAt[runner];
 }
 
-const std::vector<GatewayFleet::Time> &GatewayFleet::arrivalsAt(unsigned runner) const
+const std::vector<GatewayFleet::Time> &GatewayFleet::arrivalTimesAt(unsigned runner) const
 {
     return m_arrivalsAt[runner];
 }
 
-unsigned GatewayFleet::up() const
+unsigned GatewayFleet::runningRunners() const
 {
     return static_cast<unsigned>(std::ranges::count(m_up, true));
 }
 
-std::size_t GatewayFleet::crashes(const std::string &path) const
+std::size_t GatewayFleet::crashCount(const std::string &path) const
 {
     const auto it = m_crashes.find(path);
     return it == m_crashes.end() ? 0 : it->second.size();
 }
 
-std::size_t GatewayFleet::arrivals(const std::string &path, Time after) const
+std::size_t GatewayFleet::arrivalCount(const std::string &path, Time after) const
 {
     const auto it = m_arrivals.find(path);
     if (it == m_arrivals.end()) {
@@ -322,19 +322,19 @@
     }));
 }
 
-GatewayFleet::Time GatewayFleet::crashedAt(const std::string &path, std::size_t number) const
+GatewayFleet::Time GatewayFleet::crashTime(const std::string &path, std::size_t number) const
 {
     return m_crashes.at(path).at(number - 1);
 }
 
-bool GatewayFleet::ran(const std::string &attemptId) const
+bool GatewayFleet::attemptRan(const std::string &attemptId) const
 {
     return std::ranges::any_of(m_runners, [&](const auto &runner) {
         return std::ranges::find(runner->ran, attemptId) != runner->ran.end();
     });
 }
 
-std::uint64_t GatewayFleet::count(const std::string &counter) const
+std::uint64_t GatewayFleet::counterSum(const std::string &counter) const
 {
     std::uint64_t sum = 0;
     for (const Host &host : m_hosts) {
--- a/testing/harness/gatewayfleet.h
+++ b/testing/harness/gatewayfleet.h
@@ -23,12 +23,12 @@
     unsigned runners = 6;
     bool sameId = true; ///< a runner that starts again has the id that it had
     bool group = false; ///< the runners are the ranks of one group
-    std::chrono::milliseconds back{350}; ///< from a runner's end to its next start
-    std::chrono::milliseconds lapse{700}; ///< from a runner's end until its entry goes, if it has not started again
-    std::chrono::milliseconds hold{300'000}; ///< as in the gateways' settings
-    bool lossy = false; ///< of a runner that ends, callers hear on the connection of the request that ended it alone
+    std::chrono::milliseconds restartDelay{350}; ///< from a runner's end to its next start
+    std::chrono::milliseconds entryExpiry{700}; ///< from a runner's end until its entry goes, if it has not started again
+    std::chrono::milliseconds holdTime{300'000}; ///< as in the gateways' settings
+    bool silentCrash = false; ///< of a runner that ends, callers hear on the connection of the request that ended it alone
     unsigned maxConnections = 1000; ///< that a runner takes from all hosts together, as the configuration says
-    std::chrono::milliseconds work{3}; ///< of a runner before an answer, and between events
+    std::chrono::milliseconds workTime{3}; ///< of a runner before an answer, and between events
 };
 
 /** A request that reached a runner, run or not. */
@@ -67,7 +67,7 @@
     std::shared_ptr<Answer> send(unsigned gateway, HttpRequest message, std::shared_ptr<bool> done = std::make_shared<bool>(false));
     /** Sends and waits for the end of the answer. */
     Answer ask(unsigned gateway, HttpRequest message);
-    void run(std::chrono::milliseconds time);
+    void runFor(std::chrono::milliseconds time);
     template<typename Condition>
     bool runUntil(Condition condition, std::chrono::milliseconds limit)
     {
@@ -78,28 +78,28 @@
         return condition();
     }
     /** Until so many runners take requests. */
-    bool runUntilUp(unsigned runners);
+    bool runUntilRunning(unsigned runners);
     /** Ends a runner for a cause of its own. */
     void crashRunner(unsigned index);
 
     standins::PlatformRunner &runner(unsigned index);
     /** From now on the runner turns away @p share of its requests, and names @p retryAfter seconds; "": it names none. */
-    void refuse(unsigned index, double share, const std::string &retryAfter);
+    void setRefusals(unsigned index, double share, const std::string &retryAfter);
     /** Requests that reached a runner, the earliest first. */
     const std::vector<FleetArrival> &requestsAt(unsigned runner) const;
     /** When requests reached a runner, run or not, the earliest first. */
-    const std::vector<Time> &arrivalsAt(unsigned runner) const;
+    const std::vector<Time> &arrivalTimesAt(unsigned runner) const;
 
-    unsigned up() const;
+    unsigned runningRunners() const;
     /** Runners that requests of @p path have ended. */
-    std::size_t crashes(const std::string &path) const;
+    std::size_t crashCount(const std::string &path) const;
     /** Times at which requests of @p path reached a runner, run or not, later than @p after. */
-    std::size_t arrivals(const std::string &path, Time after = {}) const;
+    std::size_t arrivalCount(const std::string &path, Time after = {}) const;
     /** When the @p number-th runner, from 1, ended under @p path. */
-    Time crashedAt(const std::string &path, std::size_t number) const;
+    Time crashTime(const std::string &path, std::size_t number) const;
     /** Whether a runner began the attempt. */
-    bool ran(const std::string &attemptId) const;
-    std::uint64_t count(const std::string &counter) const;
+    bool attemptRan(const std::string &attemptId) const;
+    std::uint64_t counterSum(const std::string &counter) const;
 
     boost::asio::io_context context{1};
     standins::PlatformStore store;
--- a/testing/leavingrunner_test.cpp
+++ b/testing/leavingrunner_test.cpp
@@ -53,7 +53,7 @@
 
     void expectNoMoreRequests()
     {
-        fleet.run(200ms);
+        fleet.runFor(200ms);
         EXPECT_EQ(lateRequests(fleet.requestsAt(0), from), 0U) << "of " << fleet.requestsAt(0).size();
         EXPECT_EQ(load.answered(503), 0U) << "the other runners had capacity";
     }
@@ -93,7 +93,7 @@
 // Guards against reading only Retry-After from the head of a refusal and missing that the runner is leaving.
 TEST_F(LeavingRunner, GetsNoRequestsAfterReportingItInARefusalWithAShortBackoff)
 {
-    fleet.refuse(0, 1, "0.1");
+    fleet.setRefusals(0, 1, "0.1");
     load.run(2500ms, "/again/x");
     expectNoMoreRequests();
 }
@@ -106,8 +106,8 @@
     expectNoMoreRequests();
     fleet.runner(0).leaving = false;
     fleet.crashRunner(0);
-    ASSERT_TRUE(fleet.runUntilUp(3));
-    fleet.run(1000ms);
+    ASSERT_TRUE(fleet.runUntilRunning(3));
+    fleet.runFor(1000ms);
     const std::size_t before = fleet.requestsAt(0).size();
     load.run(3000ms, "/again/x");
     EXPECT_GE(fleet.requestsAt(0).size() - before, 30U) << "half of its share; ties in load are broken at random";
@@ -124,7 +124,7 @@
             return fleet.runner(0).reports > 0;
         },
         3s));
-    fleet.run(200ms);
+    fleet.runFor(200ms);
     FleetLoad load(fleet, 1, 40);
     load.run(1500ms, "/stream/x");
     EXPECT_EQ(fleet.requestsAt(0).size(), 0U);
--- a/testing/limitedrunner_test.cpp
+++ b/testing/limitedrunner_test.cpp
@@ -108,7 +108,7 @@
     load.run(kSettle, GetParam().path);
     const Time from = std::chrono::steady_clock::now();
     load.run(kMeasured, GetParam().path);
-    const auto &arrivals = fleet.arrivalsAt(0);
+    const auto &arrivals = fleet.arrivalTimesAt(0);
     const double allowed = GetParam().perSecond * seconds(kMeasured);
     EXPECT_LE(maxArrivalsInSpan(arrivals, from), maxInSpan(GetParam().perSecond));
     EXPECT_LE(arrivalsSince(arrivals, from), allowed * 1.1 + kSpanSlack);
@@ -142,11 +142,11 @@
     load.run(kSettle, "/once/x");
     const Time from = std::chrono::steady_clock::now();
     load.run(kMeasured, "/once/x");
-    fleet.run(300ms);
+    fleet.runFor(300ms);
     double received = 0;
     for (unsigned i = 0; i < kRunners; ++i) {
-        EXPECT_LE(maxArrivalsInSpan(fleet.arrivalsAt(i), from), maxInSpan(kPerSecond));
-        received += static_cast<double>(arrivalsSince(fleet.arrivalsAt(i), from));
+        EXPECT_LE(maxArrivalsInSpan(fleet.arrivalTimesAt(i), from), maxInSpan(kPerSecond));
+        received += static_cast<double>(arrivalsSince(fleet.arrivalTimesAt(i), from));
     }
     EXPECT_GE(received, 0.85 * kRunners * kPerSecond * seconds(kMeasured)) << "the runners could have served more";
     for (std::size_t i = 0; i < load.answers().size(); ++i) {
@@ -172,7 +172,7 @@
         ASSERT_TRUE(fleet.start());
         setLimit("1");
         ASSERT_TRUE(askUntil(0, [this] {
-            return fleet.count(kLimited) > 0;
+            return fleet.counterSum(kLimited) > 0;
         }));
     }
 
@@ -196,7 +196,7 @@
     {
         return fleet.runUntil(
             [this, hosts] {
-                return fleet.count(kLimited) == hosts;
+                return fleet.counterSum(kLimited) == hosts;
             },
             limit);
     }
@@ -222,7 +222,7 @@
             return fleet.ready(1);
         },
         6s));
-    EXPECT_EQ(fleet.count(kLimited), kHosts);
+    EXPECT_EQ(fleet.counterSum(kLimited), kHosts);
 }
 
 TEST_F(LimitAtOneHost, EndsOnAllHostsAfterOneAnswerWithoutLimit)
@@ -232,13 +232,13 @@
     ASSERT_TRUE(askUntil(
         0,
         [this] {
-            return fleet.count(kLimited) < kHosts;
+            return fleet.counterSum(kLimited) < kHosts;
         },
         12s));
     EXPECT_TRUE(knownBy(0));
     const Time from = std::chrono::steady_clock::now();
     load.run(2000ms, "/again/x");
-    EXPECT_GE(arrivalsSince(fleet.arrivalsAt(0), from), 15U) << "a third of the load";
+    EXPECT_GE(arrivalsSince(fleet.arrivalTimesAt(0), from), 15U) << "a third of the load";
 }
 
 TEST_F(LimitAtOneHost, IncreaseReachesAllHosts)
@@ -248,8 +248,8 @@
     load.run(6000ms, "/again/x");
     const Time from = std::chrono::steady_clock::now();
     load.run(4000ms, "/again/x");
-    EXPECT_GE(arrivalsSince(fleet.arrivalsAt(0), from), 20U);
-    EXPECT_LE(arrivalsSince(fleet.arrivalsAt(0), from), maxInSpan(8));
+    EXPECT_GE(arrivalsSince(fleet.arrivalTimesAt(0), from), 20U);
+    EXPECT_LE(arrivalsSince(fleet.arrivalTimesAt(0), from), maxInSpan(8));
 }
 
 TEST_F(LimitAtOneHost, AppliesToOneIncarnationOfTheRunner)
@@ -257,11 +257,11 @@
     ASSERT_TRUE(knownBy(kHosts));
     setLimit("");
     fleet.crashRunner(0);
-    ASSERT_TRUE(fleet.runUntilUp(3));
-    fleet.run(1000ms);
+    ASSERT_TRUE(fleet.runUntilRunning(3));
+    fleet.runFor(1000ms);
     const Time from = std::chrono::steady_clock::now();
     load.run(2000ms, "/again/x");
-    EXPECT_GE(arrivalsSince(fleet.arrivalsAt(0), from), 15U);
+    EXPECT_GE(arrivalsSince(fleet.arrivalTimesAt(0), from), 15U);
 }
 
 TEST_F(LimitAtOneHost, IgnoresMalformedValues)
@@ -271,10 +271,10 @@
         setLimit(bad);
         const Time from = std::chrono::steady_clock::now();
         load.run(2000ms, "/again/x");
-        EXPECT_LE(arrivalsSince(fleet.arrivalsAt(0), from), maxInSpan(1)) << bad;
-        EXPECT_EQ(fleet.count(kLimited), kHosts) << bad;
+        EXPECT_LE(arrivalsSince(fleet.arrivalTimesAt(0), from), maxInSpan(1)) << bad;
+        EXPECT_EQ(fleet.counterSum(kLimited), kHosts) << bad;
     }
-    EXPECT_GE(fleet.count("fulmarlink_malformed_limits_total"), 1U);
+    EXPECT_GE(fleet.counterSum("fulmarlink_malformed_limits_total"), 1U);
 }
 
 TEST_F(LimitAtOneHost, HoldsDuringStoreOutageAsDoesANewLimit)
@@ -288,8 +288,8 @@
     load.run(kSettle, "/again/x");
     const Time from = std::chrono::steady_clock::now();
     load.run(3000ms, "/again/x");
-    EXPECT_LE(arrivalsSince(fleet.arrivalsAt(0), from), maxInSpan(1));
-    EXPECT_LE(arrivalsSince(fleet.arrivalsAt(1), from), maxInSpan(1));
+    EXPECT_LE(arrivalsSince(fleet.arrivalTimesAt(0), from), maxInSpan(1));
+    EXPECT_LE(arrivalsSince(fleet.arrivalTimesAt(1), from), maxInSpan(1));
 }
 
 TEST(LimitedRunners, RetriesAndResumedStreamsStayWithinLimits)
@@ -307,9 +307,9 @@
     load.run(4000ms, "/stream/cut");
     load.run(4000ms, "/again/reset");
     for (unsigned i = 0; i < kRunners; ++i) {
-        EXPECT_LE(maxArrivalsInSpan(fleet.arrivalsAt(i), from), maxInSpan(kPerSecond));
+        EXPECT_LE(maxArrivalsInSpan(fleet.arrivalTimesAt(i), from), maxInSpan(kPerSecond));
     }
-    EXPECT_GE(fleet.count("fulmarlink_results_total{code=\"136\",name=\"runners-limited\"}"), 1U);
+    EXPECT_GE(fleet.counterSum("fulmarlink_results_total{code=\"136\",name=\"runners-limited\"}"), 1U);
 }
 
 TEST(LimitedRunners, RefuseCallersAtOnceWithIncreasingRetryAfter)
@@ -318,7 +318,7 @@
     ASSERT_TRUE(fleet.start());
     fleet.runner(0).limit = "1";
     fleet.runner(1).limit = "1";
-    fleet.run(2000ms); // lets the host learn that it is the only one
+    fleet.runFor(2000ms); // lets the host learn that it is the only one
     std::vector<double> retryAfter;
     for (unsigned i = 0; i < 14; ++i) {
         const Time sent = std::chrono::steady_clock::now();
@@ -344,7 +344,7 @@
         load.run(kSettle, "/once/x");
         const Time from = std::chrono::steady_clock::now();
         load.run(4500ms, "/once/x");
-        EXPECT_GT(maxArrivalsInSpan(fleet.arrivalsAt(0), from), maxInSpan(2));
+        EXPECT_GT(maxArrivalsInSpan(fleet.arrivalTimesAt(0), from), maxInSpan(2));
     }
 }
 
--- a/testing/runnerbackoff_test.cpp
+++ b/testing/runnerbackoff_test.cpp
@@ -79,10 +79,10 @@
     FleetLoad load(fleet, value.gateways, value.demand);
     load.run(500ms, value.path);
     for (unsigned i = 0; i < value.refusing; ++i) {
-        fleet.refuse(i, value.share, value.retryAfter);
+        fleet.setRefusals(i, value.share, value.retryAfter);
     }
     load.run(5000ms, value.path);
-    fleet.run(300ms);
+    fleet.runFor(300ms);
     for (unsigned i = 0; i < value.refusing; ++i) {
         EXPECT_GE(refusals(fleet.requestsAt(i)), 1U);
         EXPECT_EQ(unwantedRequests(fleet.requestsAt(i)), 0U) << "of " << fleet.requestsAt(i).size() << " at runner " << i;
@@ -104,12 +104,12 @@
 {
     GatewayFleet fleet({.gateways = 2, .runners = 4});
     ASSERT_TRUE(fleet.start());
-    fleet.refuse(0, 1, "3");
-    fleet.refuse(1, 1, "3");
+    fleet.setRefusals(0, 1, "3");
+    fleet.setRefusals(1, 1, "3");
     FleetLoad load(fleet, 2, 40);
     load.run(2500ms, "/stream/cut");
     load.run(2500ms, "/again/reset");
-    fleet.run(300ms);
+    fleet.runFor(300ms);
     EXPECT_EQ(unwantedRequests(fleet.requestsAt(0)), 0U);
     EXPECT_EQ(unwantedRequests(fleet.requestsAt(1)), 0U);
 }
@@ -121,12 +121,12 @@
     GatewayFleet fleet({.gateways = 1, .runners = kRunners});
     ASSERT_TRUE(fleet.start());
     for (unsigned i = 0; i < kRunners; ++i) {
-        fleet.refuse(i, 1, "2");
+        fleet.setRefusals(i, 1, "2");
     }
     const auto began = std::chrono::steady_clock::now();
     ASSERT_EQ(fleet.ask(0, fleet.request("/once/x")).status, 503U);
     for (unsigned i = 0; i < kRunners; ++i) {
-        fleet.refuse(i, 0, "");
+        fleet.setRefusals(i, 0, "");
     }
     unsigned refused = 0;
     for (auto asked = began; asked < began + 1800ms; asked = std::chrono::steady_clock::now()) {
@@ -136,13 +136,13 @@
         const auto back = asked + std::chrono::duration<double>(std::stod(answer["Retry-After"]));
         EXPECT_GE(back, began + 1900ms) << "too early";
         ++refused;
-        fleet.run(100ms);
+        fleet.runFor(100ms);
     }
     EXPECT_GE(refused, 10U);
     for (unsigned i = 0; i < kRunners; ++i) {
         EXPECT_EQ(unwantedRequests(fleet.requestsAt(i)), 0U);
     }
-    fleet.run(300ms);
+    fleet.runFor(300ms);
     EXPECT_EQ(fleet.ask(0, fleet.request("/once/x")).status, 200U) << "the runners accept requests again";
 }
 
@@ -173,13 +173,13 @@
     constexpr unsigned kHosts = 5;
     constexpr unsigned kRunners = 4;
     constexpr double kDemand = 100;
-    GatewayFleet fleet({.gateways = kHosts, .runners = kRunners, .work = 20ms});
+    GatewayFleet fleet({.gateways = kHosts, .runners = kRunners, .workTime = 20ms});
     ASSERT_TRUE(fleet.start());
     FleetLoad load(fleet, kHosts, kDemand);
     load.run(1000ms, "/again/x");
-    fleet.refuse(0, 1, "1.5");
+    fleet.setRefusals(0, 1, "1.5");
     load.run(800ms, "/again/x");
-    fleet.refuse(0, 0, "");
+    fleet.setRefusals(0, 0, "");
     load.run(3500ms, "/again/x");
     const auto &requests = fleet.requestsAt(0);
     const GatewayFleet::Time end = lastBackoffEnd(requests);
@@ -195,14 +195,14 @@
 {
     GatewayFleet fleet({.gateways = 1, .runners = 2});
     ASSERT_TRUE(fleet.start());
-    fleet.refuse(0, 1, "60");
+    fleet.setRefusals(0, 1, "60");
     FleetLoad load(fleet, 1, 40);
     load.run(500ms, "/again/x");
     ASSERT_GE(refusals(fleet.requestsAt(0)), 1U);
-    fleet.refuse(0, 0, "");
+    fleet.setRefusals(0, 0, "");
     fleet.crashRunner(0);
-    ASSERT_TRUE(fleet.runUntilUp(2));
-    fleet.run(1000ms);
+    ASSERT_TRUE(fleet.runUntilRunning(2));
+    fleet.runFor(1000ms);
     const auto from = std::chrono::steady_clock::now();
     load.run(2000ms, "/again/x");
     EXPECT_GE(arrivedBetween(fleet.requestsAt(0), from, from + 2000ms), 20U) << "half of its share";
@@ -216,12 +216,12 @@
     FleetLoad load(fleet, 1, 40);
     for (const std::string bad : {"soon", "-3", "nan", "Fri, 31 Dec 1999 23:59:59 GMT"}) {
         const std::size_t before = fleet.requestsAt(0).size();
-        fleet.refuse(0, 0.5, bad);
+        fleet.setRefusals(0, 0.5, bad);
         load.run(1000ms, "/again/x");
         EXPECT_GE(fleet.requestsAt(0).size() - before, 5U) << bad;
     }
-    EXPECT_EQ(fleet.count("fulmarlink_backoffs_total"), 0U);
-    EXPECT_GE(fleet.count("fulmarlink_malformed_backoffs_total"), 4U);
+    EXPECT_EQ(fleet.counterSum("fulmarlink_backoffs_total"), 0U);
+    EXPECT_GE(fleet.counterSum("fulmarlink_malformed_backoffs_total"), 4U);
 }
 
 // Guards against treating Retry-After: 0 as a backoff, or not treating the answer as a refusal.
@@ -229,11 +229,11 @@
 {
     GatewayFleet fleet({.gateways = 1, .runners = 2});
     ASSERT_TRUE(fleet.start());
-    fleet.refuse(0, 0.5, "0");
+    fleet.setRefusals(0, 0.5, "0");
     FleetLoad load(fleet, 1, 40);
     load.run(1000ms, "/again/x");
     EXPECT_GE(fleet.requestsAt(0).size(), 5U);
-    EXPECT_EQ(fleet.count("fulmarlink_backoffs_total"), 0U);
+    EXPECT_EQ(fleet.counterSum("fulmarlink_backoffs_total"), 0U);
     EXPECT_EQ(load.answered(503), 0U);
 }
 
@@ -247,7 +247,7 @@
     FleetLoad load(fleet, kHosts, 60);
     load.run(1000ms, "/stream/x");
     for (unsigned i = 0; i + 1 < kRanks; ++i) {
-        fleet.refuse(i, 1, "1");
+        fleet.setRefusals(i, 1, "1");
     }
     load.run(500ms, "/stream/x");
     const std::size_t refusedInitially = load.answered(503);
@@ -261,7 +261,7 @@
     const ScopedMutation scoped(Mutation::IgnoreBackoff);
     GatewayFleet fleet({.gateways = 1, .runners = 2});
     ASSERT_TRUE(fleet.start());
-    fleet.refuse(0, 1, "3");
+    fleet.setRefusals(0, 1, "3");
     FleetLoad load(fleet, 1, 60);
     load.run(2500ms, "/again/x");
     EXPECT_GT(unwantedRequests(fleet.requestsAt(0)), 0U);
--- a/testing/sumoverhosts_test.cpp
+++ b/testing/sumoverhosts_test.cpp
@@ -39,13 +39,13 @@
 TEST(SumOverHosts, IdleConnectionsToARunnerStayWithinItsLimitOverAllHosts)
 {
     constexpr unsigned kMaxConnections = 40;
-    GatewayFleet fleet({.gateways = kHosts, .runners = 2, .maxConnections = kMaxConnections, .work = 100ms});
+    GatewayFleet fleet({.gateways = kHosts, .runners = 2, .maxConnections = kMaxConnections, .workTime = 100ms});
     ASSERT_TRUE(fleet.start());
-    fleet.run(2000ms); // until the hosts have discovered each other
+    fleet.runFor(2000ms); // until the hosts have discovered each other
     for (unsigned round = 0; round < 3; ++round) {
         sendBurst(fleet, kHosts * 12);
     }
-    fleet.run(500ms);
+    fleet.runFor(500ms);
     for (unsigned i = 0; i < 2; ++i) {
         EXPECT_LE(fleet.runner(i).openConnections(), kMaxConnections);
         EXPECT_GE(fleet.runner(i).openConnections(), 8U) << "idle connections are kept for later requests";
@@ -58,7 +58,7 @@
     constexpr double kMaxWrites = 100; ///< a second; a quarter of the capacity of a small store
     GatewayFleet fleet({.gateways = kHosts, .runners = kRunners});
     ASSERT_TRUE(fleet.start());
-    fleet.run(2000ms);
+    fleet.runFor(2000ms);
     const auto sendRound = [&fleet](unsigned round) {
         for (unsigned i = 0; i < kRunners; ++i) {
             fleet.runner(i).limit = std::to_string(900 - round % 400);
@@ -66,7 +66,7 @@
         for (unsigned host = 0; host < kHosts; ++host) {
             fleet.send(host, fleet.request("/once/x"));
         }
-        fleet.run(40ms);
+        fleet.runFor(40ms);
     };
     unsigned round = 0;
     for (; round < 25; ++round) {
@@ -79,7 +79,7 @@
     }
     const double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
     EXPECT_LE((fleet.store.writes - before) / seconds, kMaxWrites);
-    EXPECT_GE(fleet.count("fulmarlink_limited_runners"), kHosts * kRunners) << "every host still knows the limited runners";
+    EXPECT_GE(fleet.counterSum("fulmarlink_limited_runners"), kHosts * kRunners) << "every host still knows the limited runners";
 }
 
 } // namespace fulmarlink::testing
