--- a/fulmarlink/gatewayanswer.cpp
+++ b/fulmarlink/gatewayanswer.cpp
@@ -1,6 +1,6 @@
-// How an exchange ends: the answers of this host's own, and the line that tells of it.
+// The end of an exchange: locally generated replies and the request log line.
 //
-// Each co_await stands in a statement of its own, as in gatewayexchange.cpp.
+// Each co_await is a statement of its own; the reason is in gatewayexchange.cpp.
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/use_awaitable.hpp>
@@ -19,16 +19,16 @@
 namespace
 {
 
-constexpr Duration kRefusedRetry = std::chrono::milliseconds(400);
+constexpr Duration kRefusedRetryAfter = std::chrono::milliseconds(400);
 
 } // namespace
 
-ResultCode GatewayExchange::unknownCode() const
+ResultCode GatewayExchange::unknownOutcomeCode() const
 {
     if (m_answerBegun) {
         return ResultCode::AnswerCutShort;
     }
-    if (timeLeft() <= kLeastTimeToSend) {
+    if (timeLeft() <= kMinTimeToSend) {
         return ResultCode::DeadlineAfterDispatch;
     }
     if (m_runnerEnded) {
@@ -46,63 +46,64 @@
     case NextStep::RefuseNotRun:
         if (m_heldBack) {
             m_result = ResultCode::RequestEndsRunners;
-            co_await writeOwn(m_result, m_retryAfter);
+            co_await writeLocalReply(m_result, m_retryAfter);
             break;
         }
         if (const BlockedRunners blocked = m_state.targets.blocked(m_pool, {}, m_state.clock.now()); blocked.free == 0 && blocked.runners() > 0) {
             m_result = blockedResultCode(blocked);
             m_retryAfter = blockedRetryAfter(m_state, m_pool);
-            co_await writeOwn(m_result, m_retryAfter);
+            co_await writeLocalReply(m_result, m_retryAfter);
             break;
         }
         m_result = m_sends > 0 ? ResultCode::RunnerBusy : ResultCode::NoRunnerReachable;
-        m_retryAfter = Duration(kRefusedRetry.count() / 2 + static_cast<Duration::rep>(m_state.random() % static_cast<std::uint64_t>(kRefusedRetry.count())));
-        co_await writeOwn(m_result, m_retryAfter);
+        m_retryAfter
+            = Duration(kRefusedRetryAfter.count() / 2 + static_cast<Duration::rep>(m_state.random() % static_cast<std::uint64_t>(kRefusedRetryAfter.count())));
+        co_await writeLocalReply(m_result, m_retryAfter);
         break;
     case NextStep::PassFailure:
         m_result = ResultCode::RunnerFailed;
-        co_await writeWhole(m_failure);
+        co_await writeResponse(m_runnerFailure);
         break;
     case NextStep::Unknown:
-        m_result = unknownCode();
+        m_result = unknownOutcomeCode();
         if (m_answerBegun) {
-            m_broken = true;
+            m_callerConnectionBroken = true;
         } else {
-            co_await writeOwn(m_result, Duration(0));
+            co_await writeLocalReply(m_result, Duration(0));
         }
         break;
     }
 }
 
-asio::awaitable<void> GatewayExchange::writeOwn(ResultCode code, Duration retryAfter)
+asio::awaitable<void> GatewayExchange::writeLocalReply(ResultCode code, Duration retryAfter)
 {
     const ResultInfo &info = resultInfo(code);
     HttpResponse response(static_cast<http::status>(info.httpStatus), 11);
-    m_state.protocol.writeOwnAnswer(response, m_facts.attemptId, info.retryLater ? std::optional(retryAfter) : std::nullopt);
+    m_state.protocol.writeOwnAnswer(response, m_callerRequest.attemptId, info.retryLater ? std::optional(retryAfter) : std::nullopt);
     response.set("Fulmarlink-Result", std::to_string(static_cast<int>(code)) + ' ' + std::string(info.name));
     response.set(http::field::content_type, "text/plain");
     response.body() = std::string(info.meaning) + '\n';
-    co_await writeWhole(response);
+    co_await writeResponse(response);
 }
 
-asio::awaitable<void> GatewayExchange::writeWhole(HttpResponse &response)
+asio::awaitable<void> GatewayExchange::writeResponse(HttpResponse &response)
 {
-    response.keep_alive(!closing());
+    response.keep_alive(!mustCloseConnection());
     response.prepare_payload();
     m_answerBegun = true;
     m_status = response.result_int();
     boost::system::error_code error;
     m_caller.expires_after(kWriteTimeout);
     co_await http::async_write(m_caller, response, asio::redirect_error(asio::use_awaitable, error));
-    m_broken = m_broken || error;
+    m_callerConnectionBroken = m_callerConnectionBroken || error;
 }
 
 void GatewayExchange::log() const
 {
     const TimePoint now = m_state.clock.now();
-    const ResultInfo &info = resultInfo(m_gone ? ResultCode::CallerGone : m_result);
+    const ResultInfo &info = resultInfo(m_callerGone ? ResultCode::CallerGone : m_result);
     logRequest("request",
-               {{"id", m_facts.attemptId},
+               {{"id", m_callerRequest.attemptId},
                 {"fingerprint", m_fingerprint.text()},
                 {"route", m_route.name},
                 {"pool", m_pool},
@@ -110,15 +111,15 @@
                 {"customer", m_customer},
                 {"config", std::to_string(m_state.config.version())},
                 {"proof_ms", msText(m_state.config.age(now))},
-                {"targets", m_targets},
+                {"targets", m_targetIds},
                 {"sends", std::to_string(m_sends)},
-                {"ran", std::to_string(m_ran)},
+                {"ran", std::to_string(m_possibleRuns)},
                 {"result", info.name},
                 {"status", std::to_string(m_status)},
                 {"reason", m_reason},
                 {"retry_ms", msText(m_retryAfter)},
-                {"first_ms", m_firstEvent == TimePoint{} ? "-" : msText(m_firstEvent - m_arrived)},
-                {"pause_ms", msText(m_longestPause)},
+                {"first_ms", m_firstEventTime == TimePoint{} ? "-" : msText(m_firstEventTime - m_arrived)},
+                {"pause_ms", msText(m_maxEventInterval)},
                 {"left_ms", msText(timeLeft())},
                 {"ms", msText(now - m_arrived)}});
 }
--- a/fulmarlink/gatewayattempt.cpp
+++ b/fulmarlink/gatewayattempt.cpp
@@ -1,6 +1,6 @@
-// One attempt of an exchange: from the choice of a runner to what is known when it has ended.
+// One attempt of an exchange: connecting to the chosen runner, sending, and recording the result.
 //
-// Each co_await stands in a statement of its own, as in gatewayexchange.cpp.
+// Each co_await is a statement of its own; the reason is in gatewayexchange.cpp.
 
 #include <algorithm>
 #include <exception>
@@ -16,7 +16,7 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds kConnectTimeout{300}; ///< far above a cross-zone round trip; a lost opening packet comes again only after a second
+constexpr std::chrono::milliseconds kConnectTimeout{300}; ///< far above a cross-zone round trip; a lost SYN is retransmitted only after 1 s
 
 } // namespace
 
@@ -24,7 +24,7 @@
 {
     const TimePoint began = m_state.clock.now();
     m_target = target.id;
-    m_tried.insert(target.id);
+    m_triedTargets.insert(target.id);
     if (m_state.targets.ownRequests(m_pool, m_group) == 0) {
         gate().recordWorkStart(began);
     }
@@ -41,22 +41,24 @@
         m_state.attempts.recordEnd(m_attempt, RunnerAttempts::Outcome::Resolved, m_state.clock.now());
         std::rethrow_exception(error);
     }
-    noteAttempt(target, end, began);
+    recordAttemptResult(target, end, began);
     co_return end;
 }
 
-/** The one place where requests go out to runners: first sends, repeats, resumed streams and trials alike. What the runner said while a connection was opened
- * counts too. */
-RunnerExclusion GatewayExchange::takeRoom(const TargetInfo &target)
+/**
+ * Reserves a send to the target. Every send to a runner passes here: first sends, repeats, resumed streams and trials.
+ * Called after the connection is open, so that signals which arrived meanwhile count.
+ */
+RunnerExclusion GatewayExchange::reserveSendTo(const TargetInfo &target)
 {
     const unsigned own = m_state.targets.ownRequests(target.id); // this request included
-    const RunnerExclusion found = m_state.signals.reserveSend({target.id, target.born}, own - std::min(own, 1U), m_state.clock.now());
-    if (found == RunnerExclusion::RateLimited) {
+    const RunnerExclusion exclusion = m_state.signals.reserveSend({target.id, target.born}, own - std::min(own, 1U), m_state.clock.now());
+    if (exclusion == RunnerExclusion::RateLimited) {
         m_state.counters.add(m_state.limitedSends);
-    } else if (found != RunnerExclusion::None) {
+    } else if (exclusion != RunnerExclusion::None) {
         m_state.counters.add(m_state.backoffSends);
     }
-    return found;
+    return exclusion;
 }
 
 asio::awaitable<AttemptEnd> GatewayExchange::sendTo(const TargetInfo &target)
@@ -66,63 +68,63 @@
     if (!connection) {
         m_reason = "connect";
         m_state.targets.requestFailed(target.id, m_state.clock.now());
-    } else if (m_gone || !m_state.targets.isUsable(target.id, m_state.clock.now()) || !mayRetry()) {
+    } else if (m_callerGone || !m_state.targets.isUsable(target.id, m_state.clock.now()) || !mayRetry()) {
         m_reason = "leaving";
         connection->idleLimit = TargetConnections::kDefaultIdle;
         m_state.connections->release(connection);
-    } else if (const RunnerExclusion found = takeRoom(target); found != RunnerExclusion::None) {
-        m_reason = runnerExclusionName(found);
+    } else if (const RunnerExclusion exclusion = reserveSendTo(target); exclusion != RunnerExclusion::None) {
+        m_reason = runnerExclusionName(exclusion);
         connection->idleLimit = TargetConnections::kDefaultIdle;
         m_state.connections->release(connection);
     } else {
         m_connection = connection;
         ++m_sends;
-        ++m_ran;
+        ++m_possibleRuns;
         end = AttemptEnd::Broken;
-        m_cut = false;
+        m_connectionLost = false;
         m_runnerEnded = false;
         m_eventsBefore = m_events.events();
-        m_attempt = m_state.attempts.add({target.id, target.born}, suspect());
+        m_attempt = m_state.attempts.add({target.id, target.born}, crashSuspect());
         m_attemptSent = m_state.clock.now();
         m_backoff.reset();
-        m_toldLoad.reset();
+        m_reportedLoad.reset();
         const bool written = co_await write(*connection, target);
         if (written) {
             end = co_await readAnswer(*connection, target);
         }
         m_connection.reset();
         if (end == AttemptEnd::Refused) {
-            --m_ran;
+            --m_possibleRuns;
         }
-        co_await noteEnd(target, end);
+        co_await recordCrashEvidence(target, end);
     }
     co_return end;
 }
 
-void GatewayExchange::noteAttempt(const TargetInfo &target, AttemptEnd end, TimePoint began)
+void GatewayExchange::recordAttemptResult(const TargetInfo &target, AttemptEnd end, TimePoint began)
 {
-    m_targets += (m_targets.empty() ? "" : ",") + target.id;
+    m_targetIds += (m_targetIds.empty() ? "" : ",") + target.id;
     if (end == AttemptEnd::Answered) {
         m_state.targets.requestSucceeded(target.id);
         m_state.pool(m_pool).serviceTime.record(m_state.clock.now() - began);
         return;
     }
-    if (m_gone) {
+    if (m_callerGone) {
         return;
     }
     const TimePoint now = m_state.clock.now();
     logRequest("attempt-ended",
-               {{"id", m_facts.attemptId},
+               {{"id", m_callerRequest.attemptId},
                 {"fingerprint", m_fingerprint.text()},
                 {"target", target.id},
                 {"born", std::to_string(target.born)},
                 {"group", m_group},
                 {"reason", m_reason},
                 {"backoff_ms", m_backoff ? msText(*m_backoff) : "none"},
-                {"running", m_toldLoad ? std::to_string(m_toldLoad->running) : "-"},
-                {"waiting", m_toldLoad ? std::to_string(m_toldLoad->waiting) : "-"},
+                {"running", m_reportedLoad ? std::to_string(m_reportedLoad->running) : "-"},
+                {"waiting", m_reportedLoad ? std::to_string(m_reportedLoad->waiting) : "-"},
                 {"sends", std::to_string(m_sends)},
-                {"ran", std::to_string(m_ran)},
+                {"ran", std::to_string(m_possibleRuns)},
                 {"ms", msText(now - began)},
                 {"events", std::to_string(m_events.events())}});
 }
--- a/fulmarlink/gatewaycrashes.cpp
+++ b/fulmarlink/gatewaycrashes.cpp
@@ -15,10 +15,10 @@
 RequestFingerprint GatewayExchange::fingerprint() const
 {
     const auto target = m_request.target();
-    return fingerprintOf({m_customer, m_info.method, m_facts.host, {target.data(), target.size()}, m_request.body()});
+    return fingerprintOf({m_customer, m_info.method, m_callerRequest.host, {target.data(), target.size()}, m_request.body()});
 }
 
-CrashSuspect GatewayExchange::suspect() const
+CrashSuspect GatewayExchange::crashSuspect() const
 {
     return {m_fingerprint, m_customer, m_route.name, false};
 }
@@ -26,7 +26,7 @@
 bool GatewayExchange::checkCrashes()
 {
     const CrashStatus status = m_state.crashes.status(m_fingerprint, m_arrived);
-    m_trial = status.verdict == CrashVerdict::TrialDue;
+    m_trialDue = status.verdict == CrashVerdict::TrialDue;
     if (status.verdict != CrashVerdict::HeldBack && status.verdict != CrashVerdict::Banned) {
         return true;
     }
@@ -35,19 +35,19 @@
 }
 
 /** Whether the request must be held back by now, because of crashes that became known after its arrival. */
-bool GatewayExchange::heldBack()
+bool GatewayExchange::updateHeldBack()
 {
     const CrashStatus status = m_state.crashes.status(m_fingerprint, m_state.clock.now());
     const bool held = status.verdict == CrashVerdict::HeldBack || status.verdict == CrashVerdict::TrialDue;
-    m_heldBack = status.verdict == CrashVerdict::Banned || (held && !m_trial);
+    m_heldBack = status.verdict == CrashVerdict::Banned || (held && !m_trialDue);
     m_retryAfter = m_heldBack ? status.retryAfter : m_retryAfter;
     return m_heldBack;
 }
 
 asio::awaitable<bool> GatewayExchange::claimTrial()
 {
-    const bool claimed = co_await m_state.crashWatch->claimTrial(suspect());
-    logRequest("trial", {{"id", m_facts.attemptId}, {"fingerprint", m_fingerprint.text()}, {"claimed", claimed ? "true" : "false"}});
+    const bool claimed = co_await m_state.crashWatch->claimTrial(crashSuspect());
+    logRequest("trial", {{"id", m_callerRequest.attemptId}, {"fingerprint", m_fingerprint.text()}, {"claimed", claimed ? "true" : "false"}});
     if (claimed) {
         co_return true;
     }
@@ -56,15 +56,15 @@
 }
 
 /** Records the end of the attempt: in the runner's attempts, for the request's crash status, and, if the connection broke off, whether the runner ended. */
-asio::awaitable<void> GatewayExchange::noteEnd(const TargetInfo &target, AttemptEnd end)
+asio::awaitable<void> GatewayExchange::recordCrashEvidence(const TargetInfo &target, AttemptEnd end)
 {
     const TimePoint now = m_state.clock.now();
-    const bool broken = end == AttemptEnd::Broken && !m_gone;
+    const bool broken = end == AttemptEnd::Broken && !m_callerGone;
     m_state.attempts.recordEnd(m_attempt, broken ? RunnerAttempts::Outcome::Broken : RunnerAttempts::Outcome::Resolved, now);
     if (end == AttemptEnd::Answered || end == AttemptEnd::Failed) {
         m_state.crashes.requestCompleted(m_fingerprint, now);
     }
-    if (broken && m_cut) {
+    if (broken && m_connectionLost) {
         const bool ended = co_await m_state.crashWatch->seemsEnded(target);
         m_runnerEnded = ended && m_events.events() == m_eventsBefore;
     }
--- a/fulmarlink/gatewayexchange.cpp
+++ b/fulmarlink/gatewayexchange.cpp
@@ -1,11 +1,11 @@
-// The life of a request: admit() settles where it may go, serve() sends it until an
-// attempt answers or nextStep() says that it must end, finish() tells the caller.
+// The lifecycle of a request: admit() selects the pool and target or refuses, serve() makes
+// attempts until one is answered or nextStep() ends the request, finish() answers the caller.
 //
-// Each co_await stands in a statement of its own: GCC 12 evaluates both branches of a
-// conditional expression, and loops wrongly, where one stands inside.
+// Each co_await is a statement of its own: GCC 12 evaluates both branches of a conditional
+// expression that contains one, and compiles loops with such an expression wrongly.
 //
-// A stream's head is held back until its first whole event is there: until then a
-// failed attempt leaves no trace and the request can go to another runner as if new.
+// The response head of a stream is not sent before its first complete event, so a failed
+// attempt before that is invisible to the caller and the request can be sent to another runner.
 
 #include "fulmarlink/gatewayexchange.h"
 
@@ -38,13 +38,14 @@
 namespace
 {
 
-constexpr Duration kDefaultDeadline = std::chrono::seconds(60); ///< for callers that state none
-constexpr Duration kFreshEnoughToDeny = std::chrono::milliseconds(1500); ///< a route or key that an older configuration does not have may be new
-constexpr Duration kUnprovedRetry = std::chrono::milliseconds(500); ///< mostly one host has lost the store, and another one takes the request at once
-constexpr Duration kDrainAdmits = std::chrono::milliseconds(3000); ///< a stream that begins later may not end before the shutdown limit
-constexpr Duration kDrainRetry = std::chrono::milliseconds(50); ///< another entry takes it at once
-constexpr Duration kResumePatience = std::chrono::milliseconds(1900); ///< callers abandon a stream after two seconds without an event
-constexpr Duration kResumePause = std::chrono::milliseconds(100);
+constexpr Duration kDefaultDeadline = std::chrono::seconds(60); ///< for requests without a deadline
+constexpr Duration kMaxProofAgeToDeny = std::chrono::milliseconds(1500); ///< with an older proof, a missing route or key may have been added since
+constexpr Duration kUnprovedRetryAfter
+    = std::chrono::milliseconds(500); ///< usually only one host has lost the store, and another host accepts the retry at once
+constexpr Duration kDrainAdmitPeriod = std::chrono::milliseconds(3000); ///< a stream that starts later may not end before the shutdown limit
+constexpr Duration kDrainRetryAfter = std::chrono::milliseconds(50); ///< another entry accepts the retry at once
+constexpr Duration kResumeTimeout = std::chrono::milliseconds(1900); ///< callers abandon a stream after 2 s without an event
+constexpr Duration kResumeRetryInterval = std::chrono::milliseconds(100);
 
 } // namespace
 
@@ -54,20 +55,20 @@
     , m_request(std::move(request))
     , m_keepAlive(keepAlive)
     , m_arrived(state.clock.now())
-    , m_facts(state.protocol.readRequest(m_request))
+    , m_callerRequest(state.protocol.readRequest(m_request))
 {
-    m_info.host = m_facts.host;
-    m_info.path = m_facts.path;
-    m_info.model = m_facts.model;
+    m_info.host = m_callerRequest.host;
+    m_info.path = m_callerRequest.path;
+    m_info.model = m_callerRequest.model;
     const auto method = m_request.method_string();
     m_info.method.assign(method.data(), method.size());
     m_info.idempotent = methodIsIdempotent(m_info.method);
-    m_info.promptTokens = m_facts.promptTokens;
+    m_info.promptTokens = m_callerRequest.promptTokens;
 }
 
 GatewayExchange::~GatewayExchange() = default;
 
-bool GatewayExchange::closing() const
+bool GatewayExchange::mustCloseConnection() const
 {
     return m_state.drainStartedAt || !m_keepAlive || m_state.proofIsStale(m_state.clock.now());
 }
@@ -90,12 +91,13 @@
         return true;
     }
     const TimePoint now = m_state.clock.now();
-    const auto it = m_active->keys.find(m_facts.apiKey);
+    const auto it = m_active->keys.find(m_callerRequest.apiKey);
     if (it == m_active->keys.end()) {
-        return m_state.config.age(now) < kFreshEnoughToDeny ? refuse(ResultCode::ApiKeyUnknown) : refuse(ResultCode::ConfigurationUnproved, kUnprovedRetry);
+        return m_state.config.age(now) < kMaxProofAgeToDeny ? refuse(ResultCode::ApiKeyUnknown)
+                                                            : refuse(ResultCode::ConfigurationUnproved, kUnprovedRetryAfter);
     }
     if (!m_state.keyProofValid(now)) {
-        return refuse(ResultCode::ConfigurationUnproved, kUnprovedRetry);
+        return refuse(ResultCode::ConfigurationUnproved, kUnprovedRetryAfter);
     }
     m_customer = it->second.customer;
     m_info.customer = m_customer;
@@ -121,32 +123,33 @@
     return m_route.pools.front().pool;
 }
 
-/** Of a usual answer of the pool's engine, within what the caller allows; the caller's own guess is often far off. */
-double GatewayExchange::usualEvents() const
+/** Event count of the engine's usual answer, capped by the caller's token limit. The limit alone is often a poor estimate. */
+double GatewayExchange::expectedEvents() const
 {
     const ServiceSpec *service = m_active->configuration.service(m_pool);
     if (!m_route.streaming || service == nullptr || !service->engine) {
         return 0;
     }
     const EngineSpec &engine = *service->engine;
-    const double tokens = m_facts.maxAnswerTokens > 0 ? std::min<double>(m_facts.maxAnswerTokens, engine.usualAnswerTokens) : engine.usualAnswerTokens;
+    const double tokens
+        = m_callerRequest.maxAnswerTokens > 0 ? std::min<double>(m_callerRequest.maxAnswerTokens, engine.usualAnswerTokens) : engine.usualAnswerTokens;
     return tokens / std::max(1U, engine.stride);
 }
 
 bool GatewayExchange::admit()
 {
-    m_deadline = m_arrived + m_facts.deadline.value_or(kDefaultDeadline);
-    if (m_state.drainStartedAt && m_arrived - *m_state.drainStartedAt > kDrainAdmits) {
-        return refuse(ResultCode::ShuttingDown, kDrainRetry);
+    m_deadline = m_arrived + m_callerRequest.deadline.value_or(kDefaultDeadline);
+    if (m_state.drainStartedAt && m_arrived - *m_state.drainStartedAt > kDrainAdmitPeriod) {
+        return refuse(ResultCode::ShuttingDown, kDrainRetryAfter);
     }
     m_active = m_state.config.active();
     if (!m_active || !m_state.crashRecordsLoaded) {
-        return refuse(ResultCode::NoConfiguration, kUnprovedRetry);
+        return refuse(ResultCode::NoConfiguration, kUnprovedRetryAfter);
     }
     m_route = m_active->rules->route(m_info);
     if (m_route.refusal != ResultCode::Ok) {
-        const bool fresh = m_state.config.age(m_arrived) < kFreshEnoughToDeny;
-        return fresh ? refuse(m_route.refusal) : refuse(ResultCode::ConfigurationUnproved, kUnprovedRetry);
+        const bool fresh = m_state.config.age(m_arrived) < kMaxProofAgeToDeny;
+        return fresh ? refuse(m_route.refusal) : refuse(ResultCode::ConfigurationUnproved, kUnprovedRetryAfter);
     }
     if (m_route.deadline) {
         m_deadline = std::min(m_deadline, m_arrived + *m_route.deadline);
@@ -161,8 +164,8 @@
     }
     PoolState &pool = m_state.pool(m_pool);
     pool.budget.countRequest(m_arrived);
-    const RequestDemand need{.events = usualEvents(), .timeLeft = m_deadline - m_arrived};
-    const Admission admission = admitToPool(m_state, m_pool, need, {});
+    const RequestDemand demand{.events = expectedEvents(), .timeLeft = m_deadline - m_arrived};
+    const Admission admission = admitToPool(m_state, m_pool, demand, {});
     m_group = admission.group;
     m_admitted = admission.target;
     if (!admission.target) {
@@ -180,7 +183,7 @@
     ++m_state.unansweredRequests;
     std::exception_ptr error;
     try {
-        co_await answer();
+        co_await respond();
     } catch (...) {
         error = std::current_exception();
     }
@@ -188,28 +191,28 @@
     if (error) {
         std::rethrow_exception(error);
     }
-    m_state.counters.countResult(m_gone ? ResultCode::CallerGone : m_result);
+    m_state.counters.countResult(m_callerGone ? ResultCode::CallerGone : m_result);
     m_state.requestDuration.observe(m_state.clock.now() - m_arrived);
     log();
-    co_return !m_broken && !m_gone && !closing();
+    co_return !m_callerConnectionBroken && !m_callerGone && !mustCloseConnection();
 }
 
-asio::awaitable<void> GatewayExchange::answer()
+asio::awaitable<void> GatewayExchange::respond()
 {
     bool admitted = admit();
-    if (admitted && m_trial) {
+    if (admitted && m_trialDue) {
         admitted = co_await claimTrial();
     }
     if (admitted) {
         co_await serve();
     } else {
-        co_await writeOwn(m_result, m_retryAfter);
+        co_await writeLocalReply(m_result, m_retryAfter);
     }
 }
 
 void GatewayExchange::callerGone()
 {
-    m_gone = true;
+    m_callerGone = true;
     if (m_connection) {
         m_connection->stream.close();
     }
@@ -222,19 +225,19 @@
     state.repeatable = m_route.idempotent;
     state.answerBegun = m_answerBegun;
     state.resumable = m_route.resumable;
-    state.ran = m_ran;
+    state.ran = m_possibleRuns;
     state.sends = m_sends;
     state.maxAttempts = m_route.maxAttempts;
-    state.timeLeft = timeLeft() > kLeastTimeToSend;
+    state.timeLeft = timeLeft() > kMinTimeToSend;
     state.runnerEnded = m_runnerEnded;
     return state;
 }
 
-/** Whether what is known now still lets this request go to its pool. */
+/** Whether the current crash records, routes and keys still allow sending the request to its pool. */
 bool GatewayExchange::mayRetry()
 {
     const TimePoint now = m_state.clock.now();
-    if (heldBack()) {
+    if (updateHeldBack()) {
         m_reason = "held-back";
         return false;
     }
@@ -247,7 +250,7 @@
             return false;
         }
     }
-    if (!m_route.anonymous && (!m_state.keyProofValid(now) || !active->keys.contains(m_facts.apiKey))) {
+    if (!m_route.anonymous && (!m_state.keyProofValid(now) || !active->keys.contains(m_callerRequest.apiKey))) {
         m_reason = "key-unproved";
         return false;
     }
@@ -266,26 +269,26 @@
     return m_state.pool(m_pool).gate(m_group);
 }
 
-/** The runner for the next attempt; nothing where every group of the pool is closed. */
+/** The runner for the next attempt, or nothing if every group of the pool is closed. */
 std::optional<TargetInfo> GatewayExchange::nextTarget()
 {
     if (m_admitted) {
         return std::exchange(m_admitted, std::nullopt);
     }
-    const Admission admission = admitToPool(m_state, m_pool, {.timeLeft = timeLeft(), .admitted = true}, m_tried);
+    const Admission admission = admitToPool(m_state, m_pool, {.timeLeft = timeLeft(), .admitted = true}, m_triedTargets);
     if (admission.target) {
         m_group = admission.group;
     }
     return admission.target;
 }
 
-/** For a stream that has begun: its caller waits a while for a group to open again. */
+/** Waits up to kResumeTimeout for a target that can resume a stream whose answer has started. */
 asio::awaitable<std::optional<TargetInfo>> GatewayExchange::targetToResume()
 {
     std::optional<TargetInfo> target = nextTarget();
-    while (!target && !m_gone && m_state.clock.now() - m_lastEvent <= kResumePatience) {
-        m_tried.clear(); // a runner that broke off may be back
-        co_await pauseBeforeRetry(kResumePause);
+    while (!target && !m_callerGone && m_state.clock.now() - m_lastEventTime <= kResumeTimeout) {
+        m_triedTargets.clear(); // a runner whose connection failed may be reachable again
+        co_await pauseBeforeRetry(kResumeRetryInterval);
         target = nextTarget();
     }
     co_return target;
@@ -303,7 +306,7 @@
         } else {
             target = nextTarget();
         }
-        if (m_gone) {
+        if (m_callerGone) {
             co_return;
         }
         const bool repeat = m_sends > 0;
@@ -313,7 +316,7 @@
             break;
         }
         end = co_await attempt(*target);
-        if (m_gone) {
+        if (m_callerGone) {
             co_return;
         }
         step = nextStep(attemptState(end));
--- a/fulmarlink/gatewayexchange.h
+++ b/fulmarlink/gatewayexchange.h
@@ -22,28 +22,28 @@
 {
 
 /**
- * One request of a caller from its last byte to the end of its answer.
+ * Handles one caller request, from the receipt of its last byte to the end of its answer.
  *
- * Invariants: the caller gets one head and one answer; an answer that ends early is
- * never made to look whole; after the first byte went out to a runner only the runner's
- * own word lets the request be called not run.
+ * The caller gets exactly one response head and one answer. A truncated answer is never
+ * terminated like a complete one. Once a byte has been sent to a runner, the request is
+ * reported as not run only if that runner says so.
  *
- * How to use: run() once; callerGone() at any time from the same thread.
+ * Call run() once. callerGone() may be called at any time from the same thread.
  */
 class GatewayExchange
 {
 public:
-    static constexpr Duration kLeastTimeToSend = std::chrono::milliseconds(20); ///< with less left no answer can arrive
-    static constexpr std::chrono::milliseconds kWriteTimeout{4000}; ///< to a caller that does not read
+    static constexpr Duration kMinTimeToSend = std::chrono::milliseconds(20); ///< an answer can't arrive within less
+    static constexpr std::chrono::milliseconds kWriteTimeout{4000}; ///< limit for a write to a caller that does not read
 
     GatewayExchange(GatewayState &state, boost::beast::tcp_stream &caller, HttpRequest request, bool keepAlive);
     ~GatewayExchange();
     GatewayExchange(const GatewayExchange &) = delete;
     GatewayExchange &operator=(const GatewayExchange &) = delete;
 
-    /** True if the caller's connection can take another request. */
+    /** Returns true if the caller's connection can be reused for another request. */
     boost::asio::awaitable<bool> run();
-    /** The caller has left: the runner's work is stopped, nothing more is sent. */
+    /** Handles the disconnection of the caller: closes the runner connection so that the runner stops; nothing more is sent. */
     void callerGone();
 
 private:
@@ -51,23 +51,23 @@
 
     bool admit();
     bool checkCrashes();
-    bool heldBack();
+    bool updateHeldBack();
     boost::asio::awaitable<bool> claimTrial();
-    boost::asio::awaitable<void> noteEnd(const TargetInfo &target, AttemptEnd end);
-    CrashSuspect suspect() const;
+    boost::asio::awaitable<void> recordCrashEvidence(const TargetInfo &target, AttemptEnd end);
+    CrashSuspect crashSuspect() const;
     bool checkKey();
     RequestFingerprint fingerprint() const;
-    double usualEvents() const;
+    double expectedEvents() const;
     bool refuse(ResultCode code, Duration retryAfter = Duration(0));
     const std::string &choosePool();
-    boost::asio::awaitable<void> answer();
+    boost::asio::awaitable<void> respond();
     boost::asio::awaitable<void> serve();
     std::optional<TargetInfo> nextTarget();
     boost::asio::awaitable<std::optional<TargetInfo>> targetToResume();
     PoolGate &gate();
     boost::asio::awaitable<AttemptEnd> attempt(const TargetInfo &target);
     boost::asio::awaitable<AttemptEnd> sendTo(const TargetInfo &target);
-    RunnerExclusion takeRoom(const TargetInfo &target);
+    RunnerExclusion reserveSendTo(const TargetInfo &target);
     boost::asio::awaitable<bool> write(TargetConnection &connection, const TargetInfo &target);
     boost::asio::awaitable<AttemptEnd> readAnswer(TargetConnection &connection, const TargetInfo &target);
     boost::asio::awaitable<boost::system::error_code> readHead(TargetConnection &connection, std::unique_ptr<AnswerParser> &parser);
@@ -77,64 +77,64 @@
     boost::asio::awaitable<bool> writeStreamHead(const AnswerParser &parser);
     boost::asio::awaitable<bool> writeEvents(std::string events);
     boost::asio::awaitable<void> finish(NextStep step);
-    boost::asio::awaitable<void> writeOwn(ResultCode code, Duration retryAfter);
-    boost::asio::awaitable<void> writeWhole(HttpResponse &response);
+    boost::asio::awaitable<void> writeLocalReply(ResultCode code, Duration retryAfter);
+    boost::asio::awaitable<void> writeResponse(HttpResponse &response);
     boost::asio::awaitable<void> pauseBeforeRetry(Duration pause);
-    void noteEvents(TimePoint now);
-    void noteAttempt(const TargetInfo &target, AttemptEnd end, TimePoint began);
-    void noteRefusal(const TargetInfo &target, const RunnerAnswer &answer);
+    void recordEvents(TimePoint now);
+    void recordAttemptResult(const TargetInfo &target, AttemptEnd end, TimePoint began);
+    void recordRunnerRefusal(const TargetInfo &target, const RunnerAnswer &answer);
     bool mayRetry();
-    bool shouldMove();
+    bool shouldMoveStream();
     Duration timeLeft() const;
-    Duration answerPatience() const;
+    Duration answerTimeout() const;
     AttemptState attemptState(AttemptEnd end) const;
-    ResultCode unknownCode() const;
+    ResultCode unknownOutcomeCode() const;
     void log() const;
-    bool closing() const;
+    bool mustCloseConnection() const;
 
     GatewayState &m_state;
     boost::beast::tcp_stream &m_caller;
     HttpRequest m_request;
     const bool m_keepAlive;
     const TimePoint m_arrived;
-    CallerRequest m_facts;
+    CallerRequest m_callerRequest;
     RequestInfo m_info;
     Route m_route;
     std::shared_ptr<const ActiveConfiguration> m_active;
     std::string m_pool;
-    std::string m_group; ///< of ranks, to which the last attempt went
-    std::optional<TargetInfo> m_admitted; ///< for the first attempt
+    std::string m_group; ///< rank group that the last attempt was sent to
+    std::optional<TargetInfo> m_admitted; ///< target chosen at admission, used by the first attempt
     std::string m_customer;
     RequestFingerprint m_fingerprint; ///< set once the customer is known
     TimePoint m_deadline{};
     ResultCode m_result = ResultCode::Ok;
     Duration m_retryAfter{0};
-    std::string m_reason; ///< of the last attempt that did not answer, for the log
+    std::string m_reason; ///< why the last attempt was not answered; logged
 
-    std::shared_ptr<TargetConnection> m_connection; ///< in use, so that callerGone() can close it
-    std::set<std::string> m_tried;
-    std::string m_target; ///< id of the runner of the last attempt
-    std::string m_targets; ///< ids, for the log
+    std::shared_ptr<TargetConnection> m_connection; ///< runner connection in use; callerGone() closes it
+    std::set<std::string> m_triedTargets;
+    std::string m_target; ///< runner id of the last attempt
+    std::string m_targetIds; ///< comma-separated runner ids of all attempts; logged
     unsigned m_sends = 0;
-    unsigned m_ran = 0;
-    bool m_gone = false;
-    bool m_broken = false; ///< the caller's connection can't be used any more
+    unsigned m_possibleRuns = 0; ///< sends, less those that their runner reported as not run
+    bool m_callerGone = false;
+    bool m_callerConnectionBroken = false; ///< the caller's connection can't be reused
     bool m_answerBegun = false;
-    bool m_trial = false; ///< it is held back, and this host has a try
-    bool m_heldBack = false; ///< since it was taken
-    bool m_cut = false; ///< the runner or the way to it broke the last attempt's connection
-    bool m_runnerEnded = false; ///< of the last attempt, before the first part of its answer
-    RunnerAttempts::Token m_attempt = 0; ///< the last one
-    TimePoint m_attemptSent{}; ///< when the last one's request went out
-    std::optional<Duration> m_backoff; ///< that the runner of the last attempt asked for
-    std::optional<TargetLoad> m_toldLoad; ///< by the runner of the last attempt
-    std::uint64_t m_eventsBefore = 0; ///< of a stream, from earlier attempts
-    unsigned m_status = 0; ///< given to the caller; 0: nothing
-    HttpResponse m_failure; ///< the last failure that a runner gave, for the caller
+    bool m_trialDue = false; ///< the request is held back after crashes and a trial run is due
+    bool m_heldBack = false; ///< by crashes that became known after admission
+    bool m_connectionLost = false; ///< the last attempt's connection was broken by the runner or the network, not by a timeout
+    bool m_runnerEnded = false; ///< the last attempt's runner ended before it sent an event
+    RunnerAttempts::Token m_attempt = 0; ///< of the last attempt
+    TimePoint m_attemptSent{}; ///< send time of the last attempt
+    std::optional<Duration> m_backoff; ///< requested by the runner of the last attempt
+    std::optional<TargetLoad> m_reportedLoad; ///< reported by the runner of the last attempt
+    std::uint64_t m_eventsBefore = 0; ///< stream events received from earlier attempts
+    unsigned m_status = 0; ///< HTTP status sent to the caller; 0 if none was sent
+    HttpResponse m_runnerFailure; ///< last failure response of a runner, passed on to the caller
     EventSplitter m_events;
-    TimePoint m_lastEvent{};
-    TimePoint m_firstEvent{};
-    Duration m_longestPause{0};
+    TimePoint m_lastEventTime{};
+    TimePoint m_firstEventTime{};
+    Duration m_maxEventInterval{0};
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/gatewayrelay.cpp
+++ b/fulmarlink/gatewayrelay.cpp
@@ -1,8 +1,7 @@
-// What passes between a runner and the caller of one exchange: the request on its way out,
-// the answer's head, whole bodies, events.
+// Data transfer of an exchange between runner and caller: the outgoing request, the response
+// head, buffered bodies and event streams.
 //
-// Each co_await stands in a statement of its own: GCC 12 evaluates both branches of a
-// conditional expression, and loops wrongly, where one stands inside.
+// Each co_await is a statement of its own; the reason is in gatewayexchange.cpp.
 
 #include "fulmarlink/gatewayexchange.h"
 
@@ -31,16 +30,16 @@
 namespace
 {
 
-constexpr Duration kSilentPlain
-    = std::chrono::milliseconds(200); ///< an idempotent request goes elsewhere after twice its objective, and never sooner than this
-constexpr Duration kSilentStream = std::chrono::milliseconds(1000); ///< half of the time after which callers abandon a silent stream
-constexpr Duration kLively = std::chrono::milliseconds(300); ///< a pool that gave a sign of work within this is not stalled
+constexpr Duration kMinAnswerTimeout
+    = std::chrono::milliseconds(200); ///< an idempotent request goes to another runner after twice its objective, but not sooner
+constexpr Duration kMinStreamHeadTimeout = std::chrono::milliseconds(1000); ///< half the time after which callers abandon a silent stream
+constexpr Duration kRecentAnswer = std::chrono::milliseconds(300); ///< a pool that answered within this time is not stalled
 constexpr Duration kStallMargin = std::chrono::milliseconds(150);
-constexpr std::size_t kReadBytes = 8192;
-constexpr std::size_t kMaxPlainBytes = 32U << 20;
-constexpr unsigned kMaxForeignAnswers = 3; ///< heads that belong to other requests before a connection is given up
+constexpr std::size_t kReadBufferBytes = 8192;
+constexpr std::size_t kMaxBufferedBodyBytes = 32U << 20;
+constexpr unsigned kMaxForeignAnswers = 3; ///< answers to other requests that are skipped before the connection is given up
 constexpr unsigned kServerError = 500;
-constexpr unsigned kHighestRank = 9;
+constexpr unsigned kMaxPriority = 9;
 
 bool isEventStream(const http::fields &head)
 {
@@ -52,38 +51,38 @@
 asio::awaitable<bool> GatewayExchange::write(TargetConnection &connection, const TargetInfo &target)
 {
     HttpRequest request = m_request;
-    RunnerRequest extra;
-    extra.targetId = target.id;
-    extra.customer = m_customer;
-    extra.timeLeft = timeLeft();
-    extra.lastEventId = m_events.lastId();
-    extra.priority = std::min(kHighestRank, m_route.rank);
-    m_state.protocol.writeRequest(request, extra);
+    RunnerRequest runnerRequest;
+    runnerRequest.targetId = target.id;
+    runnerRequest.customer = m_customer;
+    runnerRequest.timeLeft = timeLeft();
+    runnerRequest.lastEventId = m_events.lastId();
+    runnerRequest.priority = std::min(kMaxPriority, m_route.rank);
+    m_state.protocol.writeRequest(request, runnerRequest);
     boost::system::error_code error;
     connection.stream.expires_after(timerMs(timeLeft()));
     co_await http::async_write(connection.stream, request, asio::redirect_error(asio::use_awaitable, error));
     if (error) {
         m_reason = "write: " + error.message();
-        m_cut = error != boost::beast::error::timeout;
+        m_connectionLost = error != boost::beast::error::timeout;
         m_state.targets.requestFailed(target.id, m_state.clock.now());
     }
     co_return !error;
 }
 
-Duration GatewayExchange::answerPatience() const
+Duration GatewayExchange::answerTimeout() const
 {
     const Duration left = timeLeft();
-    const bool another = m_ran < m_route.maxAttempts && m_sends < kMaxSends;
-    if (!another || !m_route.idempotent) {
+    const bool attemptsLeft = m_possibleRuns < m_route.maxAttempts && m_sends < kMaxSends;
+    if (!attemptsLeft || !m_route.idempotent) {
         return left;
     }
     if (!m_route.streaming) {
-        return std::min(left, std::max(m_route.objective * 2, kSilentPlain));
+        return std::min(left, std::max(m_route.objective * 2, kMinAnswerTimeout));
     }
     const TimePoint now = m_state.clock.now();
-    const bool lively = now - m_state.pool(m_pool).gate(m_group).lastAnswer() < kLively;
-    const bool alive = now - m_state.targets.lastReceived(m_target) < kSilentStream; // it answers others: this request waits its turn
-    return lively && !alive ? std::min(left, std::max(m_route.objective * 2, kSilentStream)) : left;
+    const bool poolAnswers = now - m_state.pool(m_pool).gate(m_group).lastAnswer() < kRecentAnswer;
+    const bool runnerAnswers = now - m_state.targets.lastReceived(m_target) < kMinStreamHeadTimeout; // it answers other requests, so this one is queued there
+    return poolAnswers && !runnerAnswers ? std::min(left, std::max(m_route.objective * 2, kMinStreamHeadTimeout)) : left;
 }
 
 asio::awaitable<boost::system::error_code> GatewayExchange::readHead(TargetConnection &connection, std::unique_ptr<AnswerParser> &parser)
@@ -99,9 +98,9 @@
 
 asio::awaitable<boost::system::error_code> GatewayExchange::readBody(TargetConnection &connection, AnswerParser &parser, std::string &body)
 {
-    std::array<char, kReadBytes> bytes{};
+    std::array<char, kReadBufferBytes> bytes{};
     boost::system::error_code error;
-    while (!parser.is_done() && body.size() <= kMaxPlainBytes) {
+    while (!parser.is_done() && body.size() <= kMaxBufferedBodyBytes) {
         auto &piece = parser.get().body();
         piece.data = bytes.data();
         piece.size = bytes.size();
@@ -117,15 +116,15 @@
     co_return parser.is_done() ? boost::system::error_code() : http::error::body_limit;
 }
 
-/** A refusal speaks for the group if it names another rank, or if slots are full; otherwise for its runner alone. */
-void GatewayExchange::noteRefusal(const TargetInfo &target, const RunnerAnswer &answer)
+/** Counts a refusal against the group if it names another rank or the slots are full, otherwise against its runner only. */
+void GatewayExchange::recordRunnerRefusal(const TargetInfo &target, const RunnerAnswer &answer)
 {
     const TimePoint now = m_state.clock.now();
     if (answer.backoff && *answer.backoff > Duration(0)) {
-        return; // it is known for how long
+        return; // the backoff time already covers this refusal
     }
-    const bool ownChoice = answer.speaksForTarget && answer.faultyTarget.empty() && m_state.targets.requestRefused(target.id, answer.load, now);
-    if (!ownChoice) {
+    const bool runnerOnly = answer.speaksForTarget && answer.faultyTarget.empty() && m_state.targets.requestRefused(target.id, answer.load, now);
+    if (!runnerOnly) {
         gate().recordRefusal(now);
     }
 }
@@ -134,13 +133,13 @@
 {
     for (unsigned foreign = 0; foreign < kMaxForeignAnswers; ++foreign) {
         std::unique_ptr<AnswerParser> parser;
-        connection.stream.expires_after(timerMs(answerPatience()));
+        connection.stream.expires_after(timerMs(answerTimeout()));
         const boost::system::error_code error = co_await readHead(connection, parser);
         if (error) {
             const bool silent = error == boost::beast::error::timeout;
             m_reason = silent ? "silent" : "head: " + error.message();
-            m_cut = !silent;
-            if (!m_gone) {
+            m_connectionLost = !silent;
+            if (!m_callerGone) {
                 m_state.targets.requestFailed(target.id, m_state.clock.now());
             }
             co_return AttemptEnd::Broken;
@@ -148,30 +147,30 @@
         const auto &head = parser->get();
         const RunnerAnswer answer = m_state.protocol.readAnswer(head.result_int(), head);
         connection.idleLimit = answer.keepAlive ? Duration(*answer.keepAlive) - TargetConnections::kIdleMargin : TargetConnections::kDefaultIdle;
-        m_state.signalWatch->handleAnswer(target, answer, m_facts.attemptId);
-        const bool foreignAnswer = !answer.attemptId.empty() && answer.attemptId != m_facts.attemptId;
+        m_state.signalWatch->handleAnswer(target, answer, m_callerRequest.attemptId);
+        const bool foreignAnswer = !answer.attemptId.empty() && answer.attemptId != m_callerRequest.attemptId;
         if (foreignAnswer && !mutated(Mutation::TrustForeignAnswer)) {
-            std::string dropped;
-            const boost::system::error_code dropError = co_await readBody(connection, *parser, dropped);
-            if (dropError) {
-                m_reason = "foreign answer: " + dropError.message();
+            std::string discarded;
+            const boost::system::error_code discardError = co_await readBody(connection, *parser, discarded);
+            if (discardError) {
+                m_reason = "foreign answer: " + discardError.message();
                 co_return AttemptEnd::Broken;
             }
             continue;
         }
         const TimePoint now = m_state.clock.now();
         m_backoff = answer.backoff;
-        m_toldLoad = answer.load;
-        m_state.limitWatch->handleAnswer(target, answer, m_attemptSent, m_facts.attemptId);
+        m_reportedLoad = answer.load;
+        m_state.limitWatch->handleAnswer(target, answer, m_attemptSent, m_callerRequest.attemptId);
         if (answer.load) {
             m_state.targets.loadReported(target.id, *answer.load, now);
         }
         if (answer.notRun) {
-            noteRefusal(target, answer);
+            recordRunnerRefusal(target, answer);
             m_reason = "refused " + std::to_string(head.result_int()) + (answer.faultyTarget.empty() ? "" : " by " + answer.faultyTarget);
-            std::string dropped;
-            const boost::system::error_code dropError = co_await readBody(connection, *parser, dropped);
-            if (!dropError && parser->keep_alive() && m_connection) {
+            std::string discarded;
+            const boost::system::error_code discardError = co_await readBody(connection, *parser, discarded);
+            if (!discardError && parser->keep_alive() && m_connection) {
                 m_state.connections->release(m_connection);
             }
             co_return AttemptEnd::Refused;
@@ -205,13 +204,13 @@
     const boost::system::error_code error = co_await readBody(connection, parser, body);
     if (error) {
         m_reason = "body: " + error.message();
-        m_cut = error != boost::beast::error::timeout;
+        m_connectionLost = error != boost::beast::error::timeout;
         co_return AttemptEnd::Broken;
     }
     if (parser.keep_alive() && m_connection) {
         m_state.connections->release(m_connection);
     }
-    if (m_answerBegun) { // a resumed stream got a failure
+    if (m_answerBegun) { // the runner failed the resumption of a stream
         m_reason = "resume failed " + std::to_string(parser.get().result_int());
         co_return AttemptEnd::Failed;
     }
@@ -220,51 +219,51 @@
     response.body() = std::move(body);
     if (response.result_int() >= kServerError) {
         m_reason = "failed " + std::to_string(response.result_int());
-        m_failure = std::move(response);
+        m_runnerFailure = std::move(response);
         co_return AttemptEnd::Failed;
     }
-    if (!m_gone) {
-        co_await writeWhole(response);
+    if (!m_callerGone) {
+        co_await writeResponse(response);
     }
     co_return AttemptEnd::Answered;
 }
 
 asio::awaitable<AttemptEnd> GatewayExchange::relayStream(TargetConnection &connection, AnswerParser &parser)
 {
-    std::array<char, kReadBytes> bytes{};
+    std::array<char, kReadBufferBytes> bytes{};
     boost::system::error_code error;
-    const Duration silence = Duration(m_state.settings.stallTimeout) + kStallMargin;
+    const Duration stallLimit = Duration(m_state.settings.stallTimeout) + kStallMargin;
     while (!parser.is_done()) {
         auto &piece = parser.get().body();
         piece.data = bytes.data();
         piece.size = bytes.size();
-        connection.stream.expires_after(timerMs(std::min(timeLeft(), silence)));
+        connection.stream.expires_after(timerMs(std::min(timeLeft(), stallLimit)));
         co_await http::async_read_some(connection.stream, connection.buffer, parser, asio::redirect_error(asio::use_awaitable, error));
         if (error == http::error::need_buffer) {
             error = {};
         }
         m_events.push({bytes.data(), bytes.size() - piece.size});
         const std::string whole = m_events.takeWhole();
-        if (!whole.empty() && !m_gone) {
-            noteEvents(m_state.clock.now());
-            bool taken = co_await writeStreamHead(parser);
-            if (taken) {
-                taken = co_await writeEvents(whole);
+        if (!whole.empty() && !m_callerGone) {
+            recordEvents(m_state.clock.now());
+            bool written = co_await writeStreamHead(parser);
+            if (written) {
+                written = co_await writeEvents(whole);
             }
-            if (!taken) {
+            if (!written) {
                 m_reason = "caller does not read";
-                m_broken = true;
+                m_callerConnectionBroken = true;
                 co_return AttemptEnd::Broken;
             }
         }
-        if (!error && !parser.is_done() && shouldMove()) {
+        if (!error && !parser.is_done() && shouldMoveStream()) {
             m_reason = "moved from a slow runner";
             m_events.reset();
             co_return AttemptEnd::Broken;
         }
         if (error || m_events.tooLong()) {
             m_reason = "stream: " + error.message();
-            m_cut = error && error != boost::beast::error::timeout;
+            m_connectionLost = error && error != boost::beast::error::timeout;
             m_events.reset();
             co_return AttemptEnd::Broken;
         }
@@ -278,73 +277,73 @@
         m_state.connections->release(m_connection);
     }
     static const std::string kLastChunk = "0\r\n\r\n";
-    bool taken = false;
-    if (!m_gone) {
-        taken = co_await writeStreamHead(parser);
+    bool written = false;
+    if (!m_callerGone) {
+        written = co_await writeStreamHead(parser);
     }
-    if (taken) {
+    if (written) {
         co_await asio::async_write(m_caller, asio::buffer(kLastChunk), asio::redirect_error(asio::use_awaitable, error));
     }
-    m_broken = m_broken || error;
+    m_callerConnectionBroken = m_callerConnectionBroken || error;
     co_return AttemptEnd::Answered;
 }
 
 /**
- * Whether the stream should go on at another runner since its own is slow. A group in
- * lock-step waits for the slow rank's writers for as long as they last: with 12 of them at a
- * twelfth of the speed passes stay at 0.3 s for 4 s after its experts have been taken away.
+ * Whether to move the stream to another runner because its own is slow. A group runs in
+ * lock-step and waits for the slow rank as long as that rank has streams: with 12 streams at
+ * a twelfth of the speed, passes stay at 0.3 s for 4 s after its experts have been moved away.
  */
-bool GatewayExchange::shouldMove()
+bool GatewayExchange::shouldMoveStream()
 {
-    if (!m_route.resumable || !m_state.targets.isSlow(m_target) || m_gone) {
+    if (!m_route.resumable || !m_state.targets.isSlow(m_target) || m_callerGone) {
         return false;
     }
     const TimePoint now = m_state.clock.now();
-    const TargetInfo *other = m_state.targets.pick(m_pool, m_tried, now, m_state.random);
+    const TargetInfo *other = m_state.targets.pick(m_pool, m_triedTargets, now, m_state.random);
     const bool better = other != nullptr && !m_state.targets.isSlow(other->id);
     AttemptState state = attemptState(AttemptEnd::Broken);
     return better && mayRetry() && nextStep(state) == NextStep::Again && m_state.pool(m_pool).budget.canTakeRepeat(now);
 }
 
-void GatewayExchange::noteEvents(TimePoint now)
+void GatewayExchange::recordEvents(TimePoint now)
 {
     PoolGate &gate = this->gate();
     gate.recordAnswer(now);
     m_state.targets.dataReceived(m_target, now);
     m_state.attempts.markAnswering(m_attempt);
-    const bool first = m_firstEvent == TimePoint{};
-    const Duration pause = first ? now - m_arrived : now - m_lastEvent;
-    const Duration target = first ? m_route.objective : m_route.gapTarget;
+    const bool first = m_firstEventTime == TimePoint{};
+    const Duration interval = first ? now - m_arrived : now - m_lastEventTime;
+    const Duration latencyTarget = first ? m_route.objective : m_route.gapTarget;
     if (first) {
-        m_firstEvent = now;
-        m_state.firstEventDelay.observe(pause);
+        m_firstEventTime = now;
+        m_state.firstEventDelay.observe(interval);
     } else {
-        m_state.eventInterval.observe(pause);
-        m_longestPause = std::max(m_longestPause, pause);
-        gate.recordEventInterval(pause, target, now);
+        m_state.eventInterval.observe(interval);
+        m_maxEventInterval = std::max(m_maxEventInterval, interval);
+        gate.recordEventInterval(interval, latencyTarget, now);
     }
-    m_lastEvent = now;
-    if (target > Duration(0)) {
-        gate.recordLatencyRatio(std::chrono::duration<double>(pause) / std::chrono::duration<double>(target), now);
+    m_lastEventTime = now;
+    if (latencyTarget > Duration(0)) {
+        gate.recordLatencyRatio(std::chrono::duration<double>(interval) / std::chrono::duration<double>(latencyTarget), now);
     }
 }
 
 asio::awaitable<bool> GatewayExchange::writeStreamHead(const AnswerParser &parser)
 {
     if (m_answerBegun) {
-        co_return !m_broken;
+        co_return !m_callerConnectionBroken;
     }
     http::response<http::empty_body> response(parser.get().result(), 11);
     m_state.protocol.copyAnswerHead(parser.get(), response);
     response.chunked(true);
-    response.keep_alive(!closing());
+    response.keep_alive(!mustCloseConnection());
     http::response_serializer<http::empty_body> serializer(response);
     boost::system::error_code error;
     m_answerBegun = true;
     m_status = response.result_int();
     m_caller.expires_after(kWriteTimeout);
     co_await http::async_write_header(m_caller, serializer, asio::redirect_error(asio::use_awaitable, error));
-    m_broken = m_broken || error;
+    m_callerConnectionBroken = m_callerConnectionBroken || error;
     co_return !error;
 }
 
--- a/testing/gateway_test.cpp
+++ b/testing/gateway_test.cpp
@@ -1,6 +1,5 @@
-// The gateway over real sockets, against stand-ins of the platform's store and runners:
-// each way in which a runner, the store or a caller can misbehave, and what the caller and
-// the runners see.
+// Tests of the gateway over real sockets with fake store and runners. They check what caller
+// and runners see when a runner, the store or a caller misbehaves.
 
 #include "fulmarlink/gateway.h"
 
@@ -12,7 +11,7 @@
 namespace fulmarlink::testing
 {
 
-TEST_F(GatewayTest, AWholeAnswerWithItsSealAndTheCustomerInsteadOfTheKey)
+TEST_F(GatewayTest, ForwardsCustomerInsteadOfApiKeyAndRelaysSealedAnswer)
 {
     start();
     HttpRequest message = request("/once/x?q=1");
@@ -27,10 +26,10 @@
     EXPECT_EQ(seen[http::field::authorization], "");
     EXPECT_EQ(seen.target(), "/once/x?q=1");
     EXPECT_EQ(seen.body(), "text");
-    EXPECT_LE(std::stoi(std::string(seen["Deadline-Ms"])), 900); // the route's time, not the caller's
+    EXPECT_LE(std::stoi(std::string(seen["Deadline-Ms"])), 900); // the deadline of the route, not of the caller
 }
 
-TEST_F(GatewayTest, RoutesAndKeysOfTheConfigurationDecide)
+TEST_F(GatewayTest, RejectsUnknownRoutesAndApiKeys)
 {
     start();
     EXPECT_EQ(ask(request("/nowhere/")).status, 404U);
@@ -40,7 +39,7 @@
     EXPECT_EQ(ranRequests(), 1U);
 }
 
-TEST_F(GatewayTest, WithoutAConfigurationItIsNotReadyAndSaysNotRun)
+TEST_F(GatewayTest, RefusesAndIsNotReadyWithoutConfiguration)
 {
     store.remove("config", "main");
     GatewayAdapters adapters;
@@ -62,7 +61,7 @@
         3s));
 }
 
-TEST_F(GatewayTest, WhatMayRunOnceIsNeverSentAgain)
+TEST_F(GatewayTest, NonIdempotentRequestIsNotResentAfterFailure)
 {
     start();
     for (const RunnerAct act : {RunnerAct::ResetUnanswered, RunnerAct::Truncated, RunnerAct::Unsealed, RunnerAct::Garbage, RunnerAct::Fail}) {
@@ -74,7 +73,7 @@
     }
 }
 
-TEST_F(GatewayTest, ASilentRunnerOfWhatMayRunOnceEndsInTimeAsUnknown)
+TEST_F(GatewayTest, NonIdempotentRequestToSilentRunnerTimesOutAtDeadline)
 {
     start();
     setActForBoth(RunnerAct::Silent);
@@ -86,7 +85,7 @@
     EXPECT_LT(took, 1400ms);
 }
 
-TEST_F(GatewayTest, WhatMayBeRepeatedGoesToTheOtherRunner)
+TEST_F(GatewayTest, IdempotentRequestIsRetriedAtOtherRunner)
 {
     start();
     for (const RunnerAct act :
@@ -98,7 +97,7 @@
     }
 }
 
-TEST_F(GatewayTest, ARefusalIsTriedElsewhereAndThenSaidAsNotRun)
+TEST_F(GatewayTest, RefusedRequestIsRetriedAndThenReportedAsNotRun)
 {
     start();
     setActForFirstRequest(RunnerAct::Refuse);
@@ -112,7 +111,7 @@
     EXPECT_EQ(ranRequests(), 1U);
 }
 
-TEST_F(GatewayTest, AnAddressThatAnotherRunnerHasNowRunsNothing)
+TEST_F(GatewayTest, RequestDoesNotRunAtReusedRunnerAddress)
 {
     start();
     addresses["i-c"] = addresses["i-a"];
@@ -124,7 +123,7 @@
     EXPECT_EQ(ranRequests(), 0U);
 }
 
-TEST_F(GatewayTest, AnAnswerToAnotherRequestIsPassedOver)
+TEST_F(GatewayTest, SkipsAnswerToAnotherRequest)
 {
     start();
     setActForBoth(RunnerAct::Foreign);
@@ -133,7 +132,7 @@
     EXPECT_TRUE(answer.body.starts_with("from ")) << answer.body;
 }
 
-TEST_F(GatewayTest, AForeignAnswerThatIsTakenIsNoticed)
+TEST_F(GatewayTest, MutationTrustForeignAnswerRelaysWrongAnswer)
 {
     const ScopedMutation mutation(Mutation::TrustForeignAnswer);
     start();
@@ -141,7 +140,7 @@
     EXPECT_EQ(ask(request("/once/x")).body, "wrong");
 }
 
-TEST_F(GatewayTest, ASecondAnswerReachesNobody)
+TEST_F(GatewayTest, UnsolicitedSecondAnswerIsDiscarded)
 {
     start();
     setActForBoth(RunnerAct::Extra);
@@ -152,7 +151,7 @@
     }
 }
 
-TEST_F(GatewayTest, AnAnswerWithoutLengthIsWholeWhenItsConnectionEnds)
+TEST_F(GatewayTest, AnswerWithoutLengthEndsWithConnection)
 {
     start();
     setActForBoth(RunnerAct::Unframed);
@@ -161,7 +160,7 @@
     EXPECT_TRUE(answer.body.starts_with("from "));
 }
 
-TEST_F(GatewayTest, ABrokenStreamGoesOnBehindItsLastWholeEvent)
+TEST_F(GatewayTest, InterruptedStreamResumesAfterLastCompleteEvent)
 {
     start();
     setActForFirstRequest(RunnerAct::CutStream);
@@ -176,7 +175,7 @@
     EXPECT_EQ(ranRequests(), 2U);
 }
 
-TEST_F(GatewayTest, AStreamThatCanNotGoOnDoesNotLookWhole)
+TEST_F(GatewayTest, StreamThatCannotResumeIsTruncatedVisibly)
 {
     start();
     setActForBoth(RunnerAct::CutStream);
@@ -186,7 +185,7 @@
     EXPECT_EQ(ranRequests(), 2U); // max_attempts
 }
 
-TEST_F(GatewayTest, ACallerThatLeavesEndsTheRunnersWork)
+TEST_F(GatewayTest, CallerDisconnectCancelsRunnerWork)
 {
     a.events = 200;
     b.events = 200;
@@ -215,7 +214,7 @@
         500ms));
 }
 
-TEST_F(GatewayTest, ATakenKeyRunsNowhereAndANewOneIsLearned)
+TEST_F(GatewayTest, RevokedKeyIsRejectedAndNewKeyIsAccepted)
 {
     start();
     json::value next = json::parse(kConfiguration);
@@ -225,14 +224,14 @@
     context.run_for(1500ms);
     EXPECT_EQ(ask(request("/once/x", "key")).status, 401U);
     EXPECT_EQ(ask(request("/once/x", "fresh")).status, 200U);
-    store.set("config", "main", json::parse(kConfiguration)); // an older version comes late
+    store.set("config", "main", json::parse(kConfiguration)); // an older version arrives late
     context.run_for(1500ms);
     const std::size_t before = ranRequests();
     EXPECT_NE(ask(request("/once/x", "key")).status, 200U);
     EXPECT_EQ(ranRequests(), before);
 }
 
-TEST_F(GatewayTest, AMalformedConfigurationLeavesTheLastGoodOneInForce)
+TEST_F(GatewayTest, MalformedConfigurationKeepsLastValidOne)
 {
     start();
     for (const char *bad : {R"({"version":20,"routes":[{"name":"x"}]})",
@@ -253,7 +252,7 @@
         3s));
 }
 
-TEST_F(GatewayTest, KeyedRequestsEndBeforeTheBoundWhenTheStoreIsSilentAndComeBackWithIt)
+TEST_F(GatewayTest, KeyedRequestsAreRefusedWhenKeyProofExpiresAndServedAfterStoreRecovers)
 {
     settings.revokeBound = 1500ms;
     start();
@@ -262,7 +261,7 @@
     const Answer refused = ask(request("/once/x"));
     EXPECT_EQ(refused.status, 503U);
     EXPECT_EQ(ask(request("/open/x", "")).status, 200U);
-    EXPECT_EQ(ask(request("/once/x", "unknown")).status, 503U); // it may be new
+    EXPECT_EQ(ask(request("/once/x", "unknown")).status, 503U); // the key may have been added since the last proof
     store.faults.silent = false;
     EXPECT_TRUE(runUntil(
         [this] {
@@ -271,7 +270,7 @@
         4s));
 }
 
-TEST_F(GatewayTest, AHostThatHasLostTheStoreSendsItsCallersElsewhereWhileItStillServesThem)
+TEST_F(GatewayTest, HostWithoutStoreServesRequestsAndClosesCallerConnections)
 {
     start();
     EXPECT_NE(ask(request("/once/x"))[std::string("Connection")], "close");
@@ -283,7 +282,7 @@
     EXPECT_EQ(answer[std::string("Connection")], "close");
 }
 
-TEST_F(GatewayTest, AnEngineThatComesAndGoesWithTheConfigurationStopsNothing)
+TEST_F(GatewayTest, AddingAndRemovingEngineConfigurationKeepsServing)
 {
     reportGroups("g", "g");
     start();
@@ -304,7 +303,7 @@
     EXPECT_EQ(ask(request("/once/x")).status, 200U);
 }
 
-TEST_F(GatewayTest, ALeavingRunnerGetsNoMoreWork)
+TEST_F(GatewayTest, DrainingRunnerGetsNoNewRequests)
 {
     start();
     listRunner("i-a", "draining");
@@ -316,7 +315,7 @@
     EXPECT_EQ(a.seen.size(), before);
 }
 
-TEST_F(GatewayTest, AStoreThatRefusesThisHostIsAskedAgainWithoutSpinning)
+TEST_F(GatewayTest, RetriesRefusingStoreAtBoundedRate)
 {
     start();
     const unsigned before = store.calls;
@@ -328,7 +327,7 @@
     EXPECT_EQ(ask(request("/once/x")).status, 200U);
 }
 
-TEST_F(GatewayTest, ADrainAnswersWhatComesAndEndsWhenAllIsAnswered)
+TEST_F(GatewayTest, DrainServesLateRequestsAndEndsWhenAllAreAnswered)
 {
     a.work = 300ms;
     b.work = 300ms;
@@ -354,10 +353,10 @@
         },
         4s));
     context.run_for(600ms);
-    EXPECT_EQ(ask(request("/once/x")).status, 503U); // too late to be sure to end in time
+    EXPECT_EQ(ask(request("/once/x")).status, 503U); // too late in the drain to be sure to end before shutdown
 }
 
-TEST_F(GatewayTest, MalformedRequestsHaveTheirCodes)
+TEST_F(GatewayTest, MalformedRequestsGetMatchingStatusCodes)
 {
     start();
     const auto raw = [this](const std::string &text) {
@@ -385,8 +384,8 @@
     EXPECT_EQ(ranRequests(), 0U);
 }
 
-// The load: one rank of a group works far below its speed; the owner of the group's map says so.
-TEST_F(GatewayTest, AStreamAtASlowRunnerGoesOnElsewhereWithoutAGap)
+// One rank of a group runs far below its usual speed, and the owner of the group's map reports it as slow in the lease.
+TEST_F(GatewayTest, StreamMovesFromSlowRunnerWithoutLosingEvents)
 {
     constexpr unsigned kEvents = 60;
     const auto lease = [this](unsigned renewals, const json::array &slow) {
--- a/testing/gatewaymutation_test.cpp
+++ b/testing/gatewaymutation_test.cpp
@@ -1,4 +1,4 @@
-// Broken variants of the gateway's decisions: each breaks a promise that holds without it.
+// Mutation tests of the gateway's decisions: each mutation breaks an invariant that holds without it.
 
 #include <gtest/gtest.h>
 #include <ostream>
@@ -32,7 +32,7 @@
     return TimePoint(std::chrono::seconds(500) + std::chrono::milliseconds(ms));
 }
 
-AttemptState ranOnce()
+AttemptState brokenAfterOneRun()
 {
     AttemptState state;
     state.end = AttemptEnd::Broken;
@@ -42,17 +42,17 @@
     return state;
 }
 
-bool runsOnce()
+bool nonIdempotentRequestIsNotRepeated()
 {
-    return nextStep(ranOnce()) != NextStep::Again;
+    return nextStep(brokenAfterOneRun()) != NextStep::Again;
 }
 
-bool notRunIsTrue()
+bool sentRequestIsNotReportedAsNotRun()
 {
-    return nextStep(ranOnce()) != NextStep::RefuseNotRun;
+    return nextStep(brokenAfterOneRun()) != NextStep::RefuseNotRun;
 }
 
-bool versionsNeverFall()
+bool configurationVersionNeverDecreases()
 {
     ConfigState state;
     Configuration newer;
@@ -64,7 +64,7 @@
     return state.version() == 9;
 }
 
-bool keysNeedAProof()
+bool keyProofExpires()
 {
     const HostClock clock;
     Counters counters;
@@ -74,7 +74,7 @@
     return !state.keyProofValid(at(60'000));
 }
 
-bool leavingRunnersRest()
+bool leavingRunnerIsNotUsable()
 {
     TargetTable targets({});
     TargetInfo info;
@@ -85,7 +85,7 @@
     return !targets.isUsable("a", at(0));
 }
 
-bool repeatsAreBounded()
+bool repeatsAreLimitedByBudget()
 {
     WindowBudget budget({});
     unsigned granted = 0;
@@ -95,26 +95,26 @@
     return granted < 20;
 }
 
-bool eventsAreWhole()
+bool partialEventIsNotReleased()
 {
     EventSplitter splitter;
     splitter.push("id: 1\nda");
     return splitter.takeWhole().empty();
 }
 
-bool aLapsedTermEnds()
+bool lapsedLeaseStartsNewTerm()
 {
-    LeaseElector keeper(LeaseOptions{.self = "a"});
-    keeper.handleRead({}, at(0));
-    LeaseRecord record = keeper.nextRecord();
+    LeaseElector elector(LeaseOptions{.self = "a"});
+    elector.handleRead({}, at(0));
+    LeaseRecord record = elector.nextRecord();
     record.revision = 1;
-    keeper.handleWrite({{}, record}, at(0), at(1));
+    elector.handleWrite({{}, record}, at(0), at(1));
     record.revision = 2;
-    keeper.handleWrite({{}, record}, at(20'000), at(20'001));
-    return keeper.termId() == 2;
+    elector.handleWrite({{}, record}, at(20'000), at(20'001));
+    return elector.termId() == 2;
 }
 
-bool slowRanksRest()
+bool slowRankIsNotPicked()
 {
     TargetTable targets({});
     TargetInfo slow;
@@ -129,7 +129,7 @@
     return targets.pick("p", {}, at(0), random)->id == "b";
 }
 
-bool doomedStreamsAreRefused()
+bool streamThatCannotFinishIsRefused()
 {
     PoolGate gate;
     for (unsigned i = 0; i < PoolGate::kMinIntervals; ++i) {
@@ -140,7 +140,7 @@
     return !gate.decide(load, at(10), random).admitted;
 }
 
-bool slowRanksAreEmptied()
+bool expertsMoveAwayFromSlowRank()
 {
     ExpertPlanOptions options;
     options.maxExpertsPerRank = 3;
@@ -150,7 +150,7 @@
     return planExperts(map, {std::vector<double>(6, 1)}, options).map.front().front().size() < 2;
 }
 
-bool coldExpertsLeaveSlowRanks()
+bool idleExpertsMoveAwayFromSlowRank()
 {
     ExpertPlanOptions options;
     options.maxExpertsPerRank = 3;
@@ -160,28 +160,28 @@
     return planExperts(map, {{0, 0, 4, 4, 4, 4}}, options).map.front().front().size() < 2;
 }
 
-bool slowRanksAreMadeKnown()
+bool leaseRecordListsSlowRanks()
 {
-    LeaseElector keeper(LeaseOptions{.self = "a"});
-    keeper.handleRead({}, at(0));
-    LeaseRecord record = keeper.nextRecord();
+    LeaseElector elector(LeaseOptions{.self = "a"});
+    elector.handleRead({}, at(0));
+    LeaseRecord record = elector.nextRecord();
     record.revision = 1;
-    keeper.handleWrite({{}, record}, at(0), at(1));
-    keeper.setSlowTargets({"rank-1"});
-    return keeper.nextRecord().slowTargets.size() == 1;
+    elector.handleWrite({{}, record}, at(0), at(1));
+    elector.setSlowTargets({"rank-1"});
+    return elector.nextRecord().slowTargets.size() == 1;
 }
 
-bool slowPassesAreNoticedEarly()
+bool silenceMakesCountsDueEarly()
 {
-    DemandShiftDetector watch;
+    DemandShiftDetector detector;
     const auto pause = std::chrono::milliseconds(60);
     const auto target = std::chrono::milliseconds(150);
-    watch.restart(at(0));
-    watch.countsDue({pause, at(1000), target}, at(1010));
-    return watch.countsDue({pause, at(1000), target}, at(1100));
+    detector.restart(at(0));
+    detector.countsDue({pause, at(1000), target}, at(1010));
+    return detector.countsDue({pause, at(1000), target}, at(1100));
 }
 
-bool slowGroupsGetLess()
+bool slowGroupIsAdmittedLess()
 {
     TwoGroups groups;
     groups.recordIntervals("north", std::chrono::milliseconds(252));
@@ -189,7 +189,7 @@
     return groups.countAdmitted("north", 12) <= 4;
 }
 
-bool stillGroupsGetNothing()
+bool stalledGroupAdmitsNothing()
 {
     TwoGroups groups;
     groups.addOpenRequest("n0");
@@ -198,7 +198,7 @@
     return groups.countAdmitted("north", 4) == 0;
 }
 
-bool countsOfTwoStartsAreApart()
+bool expertCountsOfTwoIncarnationsAreNotMixed()
 {
     ExpertLoad load;
     ExpertCountsRead read;
@@ -211,7 +211,7 @@
     return load.pendingChoices() == 0;
 }
 
-bool groupsOfTwoEpochsAreNotWhole()
+bool groupWithTwoEpochsIsIncomplete()
 {
     std::vector<RankReportRead> reports(2);
     for (unsigned i = 0; i < reports.size(); ++i) {
@@ -223,7 +223,7 @@
     return !formGroups(reports).front().isComplete();
 }
 
-CrashHistory afterCrashes(unsigned crashes)
+CrashHistory historyWithCrashes(unsigned crashes)
 {
     CrashHistory history;
     for (unsigned i = 0; i < crashes; ++i) {
@@ -236,14 +236,14 @@
     return history;
 }
 
-bool aThirdEndBans()
+bool thirdCrashBansRequest()
 {
-    return afterCrashes(3).status({1, 2, 3}, at(3'600'000)).verdict == CrashVerdict::Banned;
+    return historyWithCrashes(3).status({1, 2, 3}, at(3'600'000)).verdict == CrashVerdict::Banned;
 }
 
-bool anEndCountsOnce()
+bool crashReportedTwiceCountsOnce()
 {
-    CrashHistory history = afterCrashes(1);
+    CrashHistory history = historyWithCrashes(1);
     CrashRecord again;
     again.name = "another host's";
     again.incarnations.push_back({"i-1", 0});
@@ -252,39 +252,39 @@
     return history.status({1, 2, 3}, at(0)).crashes == 1;
 }
 
-bool whatEndsWellIsCleared()
+bool completedRequestIsCleared()
 {
-    CrashHistory history = afterCrashes(2);
+    CrashHistory history = historyWithCrashes(2);
     history.requestCompleted({1, 2, 3}, at(1));
     return history.status({1, 2, 3}, at(1)).verdict == CrashVerdict::Clear;
 }
 
-bool noResendAfterARunnersEnd()
+bool requestIsNotResentAfterRunnerCrash()
 {
-    AttemptState state = ranOnce();
+    AttemptState state = brokenAfterOneRun();
     state.repeatable = true;
     state.runnerEnded = true;
     return nextStep(state) == NextStep::Unknown;
 }
 
-struct Promise {
+struct Invariant {
     const char *name;
     Mutation mutation;
     bool (*holds)();
 };
 
-std::ostream &operator<<(std::ostream &out, const Promise &promise)
+std::ostream &operator<<(std::ostream &out, const Invariant &invariant)
 {
-    return out << promise.name;
+    return out << invariant.name;
 }
 
-class GatewayMutation : public ::testing::TestWithParam<Promise>
+class GatewayMutation : public ::testing::TestWithParam<Invariant>
 {
 };
 
 } // namespace
 
-TEST_P(GatewayMutation, IsCaughtAndThePromiseHoldsWithoutIt)
+TEST_P(GatewayMutation, InvariantHoldsOnlyWithoutMutation)
 {
     EXPECT_TRUE(GetParam().holds());
     const ScopedMutation mutation(GetParam().mutation);
@@ -293,29 +293,29 @@
 
 INSTANTIATE_TEST_SUITE_P(All,
                          GatewayMutation,
-                         ::testing::Values(Promise{"RepeatAfterRun", Mutation::RepeatAfterRun, runsOnce},
-                                           Promise{"NotRunAfterRun", Mutation::NotRunAfterRun, notRunIsTrue},
-                                           Promise{"TakeOlderVersion", Mutation::TakeOlderVersion, versionsNeverFall},
-                                           Promise{"ForgetProofAge", Mutation::ForgetProofAge, keysNeedAProof},
-                                           Promise{"PickLeaving", Mutation::PickLeaving, leavingRunnersRest},
-                                           Promise{"UnboundedRepeats", Mutation::UnboundedRepeats, repeatsAreBounded},
-                                           Promise{"GiveHalfEvents", Mutation::GiveHalfEvents, eventsAreWhole},
-                                           Promise{"SendToSlow", Mutation::SendToSlow, slowRanksRest},
-                                           Promise{"AdmitDoomed", Mutation::AdmitDoomed, doomedStreamsAreRefused},
-                                           Promise{"IgnorePace", Mutation::IgnorePace, slowRanksAreEmptied},
-                                           Promise{"LoseSlowRanks", Mutation::LoseSlowRanks, slowRanksAreMadeKnown},
-                                           Promise{"BlindToSilence", Mutation::BlindToSilence, slowPassesAreNoticedEarly},
-                                           Promise{"IgnoreGroupPace", Mutation::IgnoreGroupPace, slowGroupsGetLess},
-                                           Promise{"AskStillGroup", Mutation::AskStillGroup, stillGroupsGetNothing},
-                                           Promise{"TrustColdExperts", Mutation::TrustColdExperts, coldExpertsLeaveSlowRanks},
-                                           Promise{"MixStarts", Mutation::MixStarts, countsOfTwoStartsAreApart},
-                                           Promise{"ForgetMovedRank", Mutation::ForgetMovedRank, groupsOfTwoEpochsAreNotWhole},
-                                           Promise{"NeverBan", Mutation::NeverBan, aThirdEndBans},
-                                           Promise{"CountReports", Mutation::CountReports, anEndCountsOnce},
-                                           Promise{"ClearNobody", Mutation::ClearNobody, whatEndsWellIsCleared},
-                                           Promise{"ResendAfterCrash", Mutation::ResendAfterCrash, noResendAfterARunnersEnd},
-                                           Promise{"KeepTerm", Mutation::KeepTerm, aLapsedTermEnds}),
-                         [](const ::testing::TestParamInfo<Promise> &info) {
+                         ::testing::Values(Invariant{"RepeatAfterRun", Mutation::RepeatAfterRun, nonIdempotentRequestIsNotRepeated},
+                                           Invariant{"NotRunAfterRun", Mutation::NotRunAfterRun, sentRequestIsNotReportedAsNotRun},
+                                           Invariant{"TakeOlderVersion", Mutation::TakeOlderVersion, configurationVersionNeverDecreases},
+                                           Invariant{"ForgetProofAge", Mutation::ForgetProofAge, keyProofExpires},
+                                           Invariant{"PickLeaving", Mutation::PickLeaving, leavingRunnerIsNotUsable},
+                                           Invariant{"UnboundedRepeats", Mutation::UnboundedRepeats, repeatsAreLimitedByBudget},
+                                           Invariant{"GiveHalfEvents", Mutation::GiveHalfEvents, partialEventIsNotReleased},
+                                           Invariant{"SendToSlow", Mutation::SendToSlow, slowRankIsNotPicked},
+                                           Invariant{"AdmitDoomed", Mutation::AdmitDoomed, streamThatCannotFinishIsRefused},
+                                           Invariant{"IgnorePace", Mutation::IgnorePace, expertsMoveAwayFromSlowRank},
+                                           Invariant{"LoseSlowRanks", Mutation::LoseSlowRanks, leaseRecordListsSlowRanks},
+                                           Invariant{"BlindToSilence", Mutation::BlindToSilence, silenceMakesCountsDueEarly},
+                                           Invariant{"IgnoreGroupPace", Mutation::IgnoreGroupPace, slowGroupIsAdmittedLess},
+                                           Invariant{"AskStillGroup", Mutation::AskStillGroup, stalledGroupAdmitsNothing},
+                                           Invariant{"TrustColdExperts", Mutation::TrustColdExperts, idleExpertsMoveAwayFromSlowRank},
+                                           Invariant{"MixStarts", Mutation::MixStarts, expertCountsOfTwoIncarnationsAreNotMixed},
+                                           Invariant{"ForgetMovedRank", Mutation::ForgetMovedRank, groupWithTwoEpochsIsIncomplete},
+                                           Invariant{"NeverBan", Mutation::NeverBan, thirdCrashBansRequest},
+                                           Invariant{"CountReports", Mutation::CountReports, crashReportedTwiceCountsOnce},
+                                           Invariant{"ClearNobody", Mutation::ClearNobody, completedRequestIsCleared},
+                                           Invariant{"ResendAfterCrash", Mutation::ResendAfterCrash, requestIsNotResentAfterRunnerCrash},
+                                           Invariant{"KeepTerm", Mutation::KeepTerm, lapsedLeaseStartsNewTerm}),
+                         [](const ::testing::TestParamInfo<Invariant> &info) {
                              return info.param.name;
                          });
 
