--- a/fulmarlink/gatewayrelay.cpp
+++ b/fulmarlink/gatewayrelay.cpp
@@ -31,7 +31,7 @@
 {
 
 constexpr Duration kMinAnswerTimeout
-    = std::chrono::milliseconds(200); ///< an idempotent request goes to another runner after twice its objective, but not sooner
+    = std::chrono::milliseconds(200); ///< an idempotent request goes to another runner after twice its objective, but not sooner than this
 constexpr Duration kMinStreamHeadTimeout = std::chrono::milliseconds(1000); ///< half the time after which callers abandon a silent stream
 constexpr Duration kRecentAnswer = std::chrono::milliseconds(300); ///< a pool that answered within this time is not stalled
 constexpr Duration kStallMargin = std::chrono::milliseconds(150);
