--- a/fulmarlink/mapswitchcoordinator.cpp
+++ b/fulmarlink/mapswitchcoordinator.cpp
@@ -1,9 +1,11 @@
-// Versions are generation * kVersionsPerGeneration + counter, so a newer coordinator's
-// are above all of an older one's. Recovery: each rank's answer to a question of the
-// new generation also fences it against the older coordinator, so a rank that says
-// "not armed" will never be armed by the older one. Hence, once all have answered, the
-// older attempt is decided: committed if any rank has committed or all are armed, else
-// aborted, and the coordinator tells everyone.
+// A version is generation * kVersionsPerGeneration + counter, so all versions of a newer
+// coordinator are higher than those of an older one.
+//
+// Recovery. By answering a query of the new generation, a rank also fences itself against
+// the older coordinator, so a rank that reports "not armed" will never be armed by the
+// older one. Once all ranks have answered, the outcome of the older attempt is therefore
+// fixed: committed if any rank has committed or all ranks are armed, otherwise aborted.
+// The coordinator sends this outcome to all ranks.
 
 #include "fulmarlink/mapswitchcoordinator.h"
 
@@ -26,7 +28,7 @@
 using boost::msm::front::Row;
 
 constexpr MapVersion kVersionsPerGeneration = 1U << 20;
-constexpr std::uint32_t kCoordinatorRank = 0xffffffff; ///< in MapAsk: the answer goes to the coordinator
+constexpr std::uint32_t kCoordinatorRank = 0xffffffff; ///< rank in a MapAsk whose answer goes to the coordinator
 
 struct Recovered {
 };
@@ -36,11 +38,11 @@
 };
 struct AllArmed {
 };
-struct Refused {
+struct RankRefused {
 };
-struct Done {
+struct AllCommitted {
 };
-struct Newer {
+struct NewerGeneration {
 };
 
 struct Definition : msm::front::state_machine_def<Definition> {
@@ -61,19 +63,19 @@
 
     // clang-format off
     using transition_table = boost::mpl::vector13<
-        Row<Recovering, Recovered, Idle,       none, none>,
-        Row<Idle,       Start,     Staging,    none, none>,
-        Row<Staging,    AllStaged, Arming,     none, none>,
-        Row<Staging,    Refused,   Idle,       none, none>,
-        Row<Arming,     AllArmed,  Committing, none, none>,
-        Row<Arming,     Refused,   Idle,       none, none>,
-        Row<Committing, Done,      Idle,       none, none>,
-        Row<Recovering, Newer,     Fenced,     none, none>,
-        Row<Idle,       Newer,     Fenced,     none, none>,
-        Row<Staging,    Newer,     Fenced,     none, none>,
-        Row<Arming,     Newer,     Fenced,     none, none>,
-        Row<Committing, Newer,     Fenced,     none, none>,
-        Row<Fenced,     Newer,     Fenced,     none, none>
+        Row<Recovering, Recovered,       Idle,       none, none>,
+        Row<Idle,       Start,           Staging,    none, none>,
+        Row<Staging,    AllStaged,       Arming,     none, none>,
+        Row<Staging,    RankRefused,     Idle,       none, none>,
+        Row<Arming,     AllArmed,        Committing, none, none>,
+        Row<Arming,     RankRefused,     Idle,       none, none>,
+        Row<Committing, AllCommitted,    Idle,       none, none>,
+        Row<Recovering, NewerGeneration, Fenced,     none, none>,
+        Row<Idle,       NewerGeneration, Fenced,     none, none>,
+        Row<Staging,    NewerGeneration, Fenced,     none, none>,
+        Row<Arming,     NewerGeneration, Fenced,     none, none>,
+        Row<Committing, NewerGeneration, Fenced,     none, none>,
+        Row<Fenced,     NewerGeneration, Fenced,     none, none>
     >;
     // clang-format on
 
@@ -93,7 +95,7 @@
     : m_options(options)
     , m_machine(std::make_unique<Machine>())
     , m_answered(options.ranks, false)
-    , m_told(options.ranks)
+    , m_reports(options.ranks)
 {
     resend();
 }
@@ -139,8 +141,8 @@
                    [&](const wire::MapArmedT &armed) {
                        handleArmed(armed);
                    },
-                   [&](const wire::MapTellT &told) {
-                       handleTell(now, told);
+                   [&](const wire::MapTellT &report) {
+                       handleTell(now, report);
                    },
                    [](const auto & /*other*/) {
                    },
@@ -151,16 +153,16 @@
 void MapSwitchCoordinator::handleStaged(TimePoint /*now*/, const wire::MapStagedT &staged)
 {
     if (staged.generation > m_options.generation) {
-        m_machine->process(Newer{});
+        m_machine->process(NewerGeneration{});
         return;
     }
     if (phase() != CoordinatorPhase::Staging || staged.version != m_attemptedVersion || staged.rank >= m_options.ranks) {
         return;
     }
     if (staged.refused) {
-        // Nothing was armed and nothing will be: free to drop it.
+        // No arm order has been sent for this version, so aborting it is safe.
         abortAll(m_attemptedVersion);
-        m_machine->process(Refused{});
+        m_machine->process(RankRefused{});
         return;
     }
     m_answered[staged.rank] = true;
@@ -190,7 +192,7 @@
     }
     if (armed.refused) {
         abortAll(m_attemptedVersion);
-        m_machine->process(Refused{});
+        m_machine->process(RankRefused{});
         return;
     }
     m_answered[armed.rank] = true;
@@ -211,34 +213,34 @@
     sendToAll(committed);
 }
 
-void MapSwitchCoordinator::handleTell(TimePoint /*now*/, const wire::MapTellT &told)
+void MapSwitchCoordinator::handleTell(TimePoint /*now*/, const wire::MapTellT &report)
 {
-    if (told.generation > m_options.generation) {
-        m_machine->process(Newer{});
+    if (report.generation > m_options.generation) {
+        m_machine->process(NewerGeneration{});
         return;
     }
-    if (told.rank >= m_options.ranks) {
+    if (report.rank >= m_options.ranks) {
         return;
     }
-    if (phase() == CoordinatorPhase::Committing && (told.version == m_attemptedVersion || told.next == m_attemptedVersion)) {
-        m_answered[told.rank] = true;
+    if (phase() == CoordinatorPhase::Committing && (report.version == m_attemptedVersion || report.next == m_attemptedVersion)) {
+        m_answered[report.rank] = true;
         if (allAnswered()) {
-            m_machine->process(Done{});
+            m_machine->process(AllCommitted{});
         }
     }
-    if (phase() == CoordinatorPhase::Arming && told.vetoed >= m_attemptedVersion && told.armed != m_attemptedVersion && !told.lost) {
+    if (phase() == CoordinatorPhase::Arming && report.vetoed >= m_attemptedVersion && report.armed != m_attemptedVersion && !report.lost) {
         abortAll(m_attemptedVersion);
-        m_machine->process(Refused{});
+        m_machine->process(RankRefused{});
     }
-    if (phase() == CoordinatorPhase::Recovering && m_forming && told.epoch == m_options.generation) {
-        m_answered[told.rank] = true;
+    if (phase() == CoordinatorPhase::Recovering && m_forming && report.epoch == m_options.generation) {
+        m_answered[report.rank] = true;
         if (allAnswered()) {
             m_forming = false;
             m_machine->process(Recovered{});
         }
-    } else if (phase() == CoordinatorPhase::Recovering && !m_forming && told.generation == m_options.generation) {
-        m_answered[told.rank] = true;
-        m_told[told.rank] = told;
+    } else if (phase() == CoordinatorPhase::Recovering && !m_forming && report.generation == m_options.generation) {
+        m_answered[report.rank] = true;
+        m_reports[report.rank] = report;
         if (allAnswered()) {
             decideRecovery();
         }
@@ -250,24 +252,24 @@
     MapVersion armed = 0;
     MapVersion committed = 0;
     std::uint64_t epoch = 0;
-    bool lost = false;
-    for (const wire::MapTellT &told : m_told) {
-        epoch = std::max(epoch, told.epoch);
+    bool mustForm = false;
+    for (const wire::MapTellT &report : m_reports) {
+        epoch = std::max(epoch, report.epoch);
     }
-    for (const wire::MapTellT &told : m_told) {
-        m_highestStep = std::max(m_highestStep, told.step);
-        lost = lost || told.lost || told.epoch != epoch;
-        if (told.lost || told.epoch != epoch) {
+    for (const wire::MapTellT &report : m_reports) {
+        m_highestStep = std::max(m_highestStep, report.step);
+        mustForm = mustForm || report.lost || report.epoch != epoch;
+        if (report.lost || report.epoch != epoch) {
             continue;
         }
-        armed = std::max(armed, told.next != 0 ? MapVersion(0) : told.armed);
-        committed = std::max({committed, told.version, told.next});
+        armed = std::max(armed, report.next != 0 ? MapVersion(0) : report.armed);
+        committed = std::max({committed, report.version, report.next});
     }
     m_currentVersion = committed;
-    if (lost) {
-        // A rank without its engine has kept the group from stepping: any map will do, if it is one.
-        // Not before all have said that they are in it may anything else begin: a late order to
-        // form would undo what a rank has promised since.
+    if (mustForm) {
+        // The rank whose engine restarted has kept the group from running steps, so any map is safe
+        // as long as all ranks use the same one. No switch may start before all ranks have confirmed
+        // that they joined: a delayed form order would discard what a rank has armed since.
         m_forming = true;
         m_answered.assign(m_options.ranks, false);
         for (std::uint32_t rank = 0; rank < m_options.ranks; ++rank) {
@@ -275,8 +277,8 @@
         }
         return;
     }
-    const bool allArmed = std::ranges::all_of(m_told, [&](const wire::MapTellT &told) {
-        return told.armed == armed;
+    const bool allArmed = std::ranges::all_of(m_reports, [&](const wire::MapTellT &report) {
+        return report.armed == armed;
     });
     if (armed > committed && (allArmed || mutated(Mutation::CommitUnarmed))) {
         m_currentVersion = armed;
@@ -321,13 +323,13 @@
     m_lastSend = now;
     if (mutated(Mutation::AbortArmed) && phase() == CoordinatorPhase::Arming) {
         abortAll(m_attemptedVersion);
-        m_machine->process(Refused{});
+        m_machine->process(RankRefused{});
         return;
     }
     resend();
 }
 
-/** Asks again whoever has not answered: a message may have been lost. */
+/** Repeats the order or query to each rank that has not answered, since a message may have been lost. */
 void MapSwitchCoordinator::resend()
 {
     const CoordinatorPhase current = phase();
@@ -346,7 +348,7 @@
             sendForm(rank);
             continue;
         }
-        // Arming: one that is not armed vetoes by this question, which ends the wait. Committing: it tells its state.
+        // While arming, a rank that is not armed vetoes on this query, which ends the wait. While committing, it reports its state.
         if (current == CoordinatorPhase::Committing) {
             wire::MapCommitT committed;
             committed.group = m_options.group;
@@ -402,9 +404,9 @@
     std::string text = std::to_string(static_cast<int>(phase())) + ',' + std::to_string(m_currentVersion) + ',' + std::to_string(m_attemptedVersion) + ','
                        + std::to_string(m_switchStep) + ',' + std::to_string(m_highestStep) + (m_forming ? 'f' : ',');
     for (std::uint32_t rank = 0; rank < m_options.ranks; ++rank) {
-        const wire::MapTellT &told = m_told[rank];
-        text += std::to_string(m_answered[rank] ? 1 : 0) + ':' + std::to_string(told.version) + ':' + std::to_string(told.armed) + ':'
-                + std::to_string(told.next) + ';';
+        const wire::MapTellT &report = m_reports[rank];
+        text += std::to_string(m_answered[rank] ? 1 : 0) + ':' + std::to_string(report.version) + ':' + std::to_string(report.armed) + ':'
+                + std::to_string(report.next) + ';';
     }
     return text;
 }
--- a/fulmarlink/mapswitchparticipant.cpp
+++ b/fulmarlink/mapswitchparticipant.cpp
@@ -1,19 +1,21 @@
-// The safety argument. A version is committed by a rank only on evidence that every
-// rank was armed for it (the coordinator's word, which follows from all "armed"
-// answers, a committed peer's, or all peers' own). It is aborted only on evidence that
-// some rank was not armed and never will be: that rank's veto, which it keeps, since it
-// refuses to arm a version that it has vetoed, or that belongs to an older generation
-// than it has seen, or that this incarnation of its agent has not staged. Both can't be
-// true of one version, so no two ranks decide differently. An armed rank does not run
-// the switching step before it has decided, and a rank is only armed while that step
-// lies ahead of it, so before the step all use the old map and from it on all the new.
+// Safety. A rank commits a version only on evidence that every rank was armed for it:
+// the coordinator's commit, which follows "armed" answers from all ranks; the state of a
+// peer that has committed; or the states of all peers. It aborts a version only on
+// evidence that some rank was not armed and never will be: that rank's veto. A veto is
+// permanent, because a rank refuses to arm a version that it has vetoed, that belongs to
+// an older generation than it has seen, or that this incarnation of its agent has not
+// staged. Both kinds of evidence cannot exist for one version, so no two ranks decide
+// differently. An armed rank does not run the switch step before it has decided, and a
+// rank is armed only before it reaches that step. Hence all ranks use the old map before
+// the switch step and the new map from it on.
 //
-// Waiting. A holding rank asks all peers. A peer that is not armed vetoes at once, so
-// the wait ends one round trip after the slowest peer answers. It lasts longer only
-// while a peer does not answer at all, and then the group can't step anyway.
+// Liveness. A waiting rank queries all peers. A peer that is not armed vetoes at once, so
+// the wait ends one round trip after the slowest peer answers. It takes longer only while
+// a peer does not answer at all, and then the group cannot run a step anyway.
 //
-// A new agent finds "armed" and "committed" in its engine; what it does not find there
-// it has never promised, and not having staged anything it vetoes whatever is on its way.
+// A new agent reads the armed and committed versions from its engine; the rank is not bound
+// to any other version. As the new agent has staged nothing, it refuses and vetoes any
+// version for which an arm order is still in transit.
 
 #include "fulmarlink/mapswitchparticipant.h"
 
@@ -68,7 +70,7 @@
         Row<Armed,     Commit, Committed, none, none>,
         Row<Armed,     Abort,  Idle,      none, none>,
         Row<Committed, Switch, Idle,      none, none>,
-        // Only a new agent that finds these in its engine starts there.
+        // Taken only by a new agent that restores an armed or committed version from its engine.
         Row<Idle,      Arm,    Armed,     none, none>,
         Row<Idle,      Commit, Committed, none, none>
     >;
@@ -146,8 +148,8 @@
                    [&](const wire::MapAskT &ask) {
                        handleAsk(ask);
                    },
-                   [&](const wire::MapTellT &told) {
-                       handleTell(told);
+                   [&](const wire::MapTellT &report) {
+                       handleTell(report);
                    },
                    [&](const wire::MapFormT &form) {
                        handleForm(form);
@@ -165,7 +167,7 @@
     }
     m_engine.generation = generation;
     if (phase() == RankPhase::Staged && !mutated(Mutation::IgnoreFencing)) {
-        veto(m_stagedVersion); // of an older generation, and not armed
+        veto(m_stagedVersion); // staged by an older generation and not armed
     }
 }
 
@@ -180,14 +182,14 @@
 
 void MapSwitchParticipant::handleStage(const wire::MapStageT &stage)
 {
-    const bool older = stage.generation < m_engine.generation && !mutated(Mutation::IgnoreFencing);
-    const bool busy = phase() == RankPhase::Armed || phase() == RankPhase::Committed;
-    const bool known = phase() == RankPhase::Staged && m_stagedVersion == stage.version;
-    const bool refused = older || busy || m_engine.outOfGroup || stage.version <= m_vetoedVersion || stage.base != m_engine.mapVersion;
-    if (!older) {
+    const bool staleGeneration = stage.generation < m_engine.generation && !mutated(Mutation::IgnoreFencing);
+    const bool switchPending = phase() == RankPhase::Armed || phase() == RankPhase::Committed;
+    const bool alreadyStaged = phase() == RankPhase::Staged && m_stagedVersion == stage.version;
+    const bool refused = staleGeneration || switchPending || m_engine.outOfGroup || stage.version <= m_vetoedVersion || stage.base != m_engine.mapVersion;
+    if (!staleGeneration) {
         raiseGeneration(stage.generation);
     }
-    if (!refused && !known && stage.version > m_stagedVersion) {
+    if (!refused && !alreadyStaged && stage.version > m_stagedVersion) {
         m_stagedVersion = stage.version;
         m_machine->process(Stage{});
     }
@@ -204,15 +206,15 @@
 void MapSwitchParticipant::handleArm(const wire::MapArmT &arm)
 {
     if (m_engine.outOfGroup) {
-        return; // what the engine had promised is not known; the group is formed anew
+        return; // the restarted engine has lost its armed state; the coordinator forms the group again
     }
-    const bool older = arm.generation < m_engine.generation && !mutated(Mutation::IgnoreFencing);
-    const bool already = m_engine.armedVersion == arm.version || m_engine.mapVersion == arm.version;
-    const bool possible = !older && phase() == RankPhase::Staged && m_stagedVersion == arm.version && m_engine.step < arm.step;
-    if (!already && !possible) {
+    const bool staleGeneration = arm.generation < m_engine.generation && !mutated(Mutation::IgnoreFencing);
+    const bool alreadyAccepted = m_engine.armedVersion == arm.version || m_engine.mapVersion == arm.version;
+    const bool canArm = !staleGeneration && phase() == RankPhase::Staged && m_stagedVersion == arm.version && m_engine.step < arm.step;
+    if (!alreadyAccepted && !canArm) {
         veto(arm.version);
     }
-    if (!already && possible) {
+    if (!alreadyAccepted && canArm) {
         m_engine.armedVersion = arm.version;
         m_engine.armedStep = arm.step;
         m_stagedVersion = 0;
@@ -223,7 +225,7 @@
     answer.group = m_options.group;
     answer.rank = m_options.rank;
     answer.version = arm.version;
-    answer.refused = !already && !possible;
+    answer.refused = !alreadyAccepted && !canArm;
     answer.generation = m_engine.generation;
     sendToCoordinator(answer);
 }
@@ -251,9 +253,9 @@
 void MapSwitchParticipant::handleAsk(const wire::MapAskT &ask)
 {
     raiseGeneration(ask.generation);
-    const bool decided = m_engine.mapVersion == ask.version || m_engine.nextVersion == ask.version || m_engine.armedVersion == ask.version;
-    // A rank that has lost its engine does not know what it promised, or ran: it vetoes nothing.
-    if (ask.version != 0 && !decided && ask.version > m_engine.mapVersion && !m_engine.outOfGroup) {
+    const bool accepted = m_engine.mapVersion == ask.version || m_engine.nextVersion == ask.version || m_engine.armedVersion == ask.version;
+    // After an engine restart it is unknown what the rank had armed or run, so it vetoes nothing.
+    if (ask.version != 0 && !accepted && ask.version > m_engine.mapVersion && !m_engine.outOfGroup) {
         veto(ask.version);
     }
     MapMessage answer;
@@ -263,23 +265,23 @@
     m_messages.push_back(std::move(answer));
 }
 
-void MapSwitchParticipant::handleTell(const wire::MapTellT &told)
+void MapSwitchParticipant::handleTell(const wire::MapTellT &report)
 {
-    if (phase() != RankPhase::Armed || told.rank >= m_options.ranks || told.epoch != m_engine.epoch || told.lost) {
+    if (phase() != RankPhase::Armed || report.rank >= m_options.ranks || report.epoch != m_engine.epoch || report.lost) {
         return;
     }
-    const MapVersion wanted = m_engine.armedVersion;
-    if (told.version == wanted || told.next == wanted) {
-        commit(wanted);
-    } else if (told.vetoed >= wanted && told.armed != wanted) {
-        abort(wanted);
-    } else if (told.armed == wanted) {
-        m_armedPeers[told.rank] = true;
+    const MapVersion armedVersion = m_engine.armedVersion;
+    if (report.version == armedVersion || report.next == armedVersion) {
+        commit(armedVersion);
+    } else if (report.vetoed >= armedVersion && report.armed != armedVersion) {
+        abort(armedVersion);
+    } else if (report.armed == armedVersion) {
+        m_armedPeers[report.rank] = true;
         m_armedPeers[m_options.rank] = true;
         if (std::ranges::all_of(m_armedPeers, [](bool armed) {
                 return armed;
             })) {
-            commit(wanted);
+            commit(armedVersion);
         }
     }
 }
@@ -290,7 +292,7 @@
         return;
     }
     if (form.generation <= m_engine.epoch) {
-        sendToCoordinator(stateReport()); // in it already: the answer was lost
+        sendToCoordinator(stateReport()); // has already joined this epoch; the previous answer was lost
         return;
     }
     m_engine.generation = form.generation;
@@ -332,19 +334,19 @@
 
 wire::MapTellT MapSwitchParticipant::stateReport() const
 {
-    wire::MapTellT told;
-    told.group = m_options.group;
-    told.rank = m_options.rank;
-    told.generation = m_engine.generation;
-    told.epoch = m_engine.epoch;
-    told.version = m_engine.mapVersion;
-    told.armed = m_engine.armedVersion;
-    told.armed_step = m_engine.armedStep;
-    told.next = m_engine.nextVersion;
-    told.vetoed = m_vetoedVersion;
-    told.step = m_engine.step;
-    told.lost = m_engine.outOfGroup;
-    return told;
+    wire::MapTellT report;
+    report.group = m_options.group;
+    report.rank = m_options.rank;
+    report.generation = m_engine.generation;
+    report.epoch = m_engine.epoch;
+    report.version = m_engine.mapVersion;
+    report.armed = m_engine.armedVersion;
+    report.armed_step = m_engine.armedStep;
+    report.next = m_engine.nextVersion;
+    report.vetoed = m_vetoedVersion;
+    report.step = m_engine.step;
+    report.lost = m_engine.outOfGroup;
+    return report;
 }
 
 void MapSwitchParticipant::sendToCoordinator(const Message &message)
--- a/fulmarlink/mapswitchparticipant.h
+++ b/fulmarlink/mapswitchparticipant.h
@@ -11,28 +11,28 @@
 namespace fulmarlink
 {
 
-/** Names one version of a group's expert map, and at the same time the attempt to switch to it. */
+/** Version number of a group's expert map. It also identifies the attempt to switch to that map. */
 using MapVersion = std::uint64_t;
 
-/** Where a rank is in a switch of maps. */
+/** Phase of a rank in a map switch. */
 enum class RankPhase : std::uint8_t {
     Idle,
-    Staged, ///< the moved experts are loaded beside the old map
-    Armed, ///< promised not to run the switching step before it knows the outcome
-    Committed, ///< switches at the step
+    Staged, ///< the moved experts are loaded; the old map is still in use
+    Armed, ///< will not run the switch step before it knows the outcome
+    Committed, ///< uses the new map from the switch step on
 };
 
 /**
- * What survives a rank's agent, because the engine beside it keeps it. A new agent
- * reads it from the engine before it says anything.
+ * State of a rank that its engine stores, so that it survives a restart of the agent.
+ * A new agent reads it from the engine before it sends any message.
  */
 struct RankEngineState {
-    std::uint64_t generation = 0; ///< the highest fencing number seen
-    std::uint64_t epoch = 0; ///< the generation in which the group was last formed; ranks of one epoch step together
-    MapVersion mapVersion = 0; ///< in use
+    std::uint64_t generation = 0; ///< highest coordinator generation seen; messages of older ones are refused
+    std::uint64_t epoch = 0; ///< generation in which the group was last formed; ranks of one epoch run steps together
+    MapVersion mapVersion = 0; ///< version in use
     MapVersion armedVersion = 0; ///< 0: not armed
-    std::uint64_t armedStep = 0;
-    MapVersion nextVersion = 0; ///< committed, in use from armedStep on; 0: none
+    std::uint64_t armedStep = 0; ///< switch step: the first that uses the armed version
+    MapVersion nextVersion = 0; ///< committed version, used from armedStep on; 0: none
     std::uint64_t step = 0; ///< the next step to run
     bool outOfGroup = false; ///< the engine has restarted and belongs to no group until it joins a new epoch
     bool operator==(const RankEngineState &) const = default;
@@ -42,10 +42,10 @@
     std::uint64_t group = 0;
     std::uint32_t rank = 0;
     std::uint32_t ranks = 1;
-    Duration peerQueryDelay = std::chrono::milliseconds(20); ///< holding for so long, it asks its peers
+    Duration peerQueryDelay = std::chrono::milliseconds(20); ///< an armed rank that has waited this long at the switch step queries its peers
 };
 
-/** A message to one rank's agent, to all other ranks, or to whoever coordinates. */
+/** A message to the agent of one rank or to the coordinator. */
 struct MapMessage {
     enum class Destination : std::uint8_t {
         Rank,
@@ -56,14 +56,15 @@
 };
 
 /**
- * One rank's side of the switch protocol, in the agent beside its engine.
+ * One rank's side of the map switch protocol; runs in the agent next to the engine.
  *
- * How to use: before each step ask mapForNextStep(); run the step only if it gives a version.
- * Report completeStep(), messages and ticks; send what takeMessages() gives.
+ * Usage: call mapForNextStep() before each step and run the step only if it returns a
+ * version. Call completeStep() after each step, pass in messages and ticks, and send the
+ * messages from takeMessages().
  *
- * Contract: in one epoch, no two ranks get different versions from mapForNextStep() for the
- * same step. A rank that is armed is let go only by a proof: that all ranks are armed
- * (commit), or that one rank never will be (abort). Copyable; pure; not thread-safe.
+ * Contract: within an epoch, mapForNextStep() never returns different versions to two ranks
+ * for the same step. An armed rank is released only by proof that all ranks are armed
+ * (commit) or that some rank never will be (abort). Copyable; does no I/O; not thread-safe.
  */
 class MapSwitchParticipant
 {
@@ -73,7 +74,7 @@
     MapSwitchParticipant(const MapSwitchParticipant &other);
     MapSwitchParticipant &operator=(const MapSwitchParticipant &other);
 
-    /** The map for the next step, or none: hold. */
+    /** Returns the map version for the next step, or nothing if the rank must wait. */
     std::optional<MapVersion> mapForNextStep(TimePoint now);
     void completeStep();
     void receive(TimePoint now, const Message &message);
@@ -83,6 +84,7 @@
     RankPhase phase() const;
     MapVersion vetoedVersion() const;
     MapVersion stagedVersion() const;
+    /** Whether the rank is waiting at the switch step for the outcome. */
     bool isHolding() const;
     std::vector<MapMessage> takeMessages();
 
@@ -92,7 +94,7 @@
     void handleStage(const wire::MapStageT &stage);
     void handleArm(const wire::MapArmT &arm);
     void handleAsk(const wire::MapAskT &ask);
-    void handleTell(const wire::MapTellT &tell);
+    void handleTell(const wire::MapTellT &report);
     void handleForm(const wire::MapFormT &form);
     void commit(MapVersion version);
     void abort(MapVersion version);
@@ -106,7 +108,7 @@
     RankEngineState m_engine;
     Cloned<Machine> m_machine;
     MapVersion m_stagedVersion = 0;
-    MapVersion m_vetoedVersion = 0; ///< this agent will never arm a version up to here
+    MapVersion m_vetoedVersion = 0; ///< this agent never arms this or a lower version
     std::vector<bool> m_armedPeers;
     TimePoint m_holdingSince{};
     TimePoint m_lastPeerQuery{};
--- a/fulmarlink/phasemachine.h
+++ b/fulmarlink/phasemachine.h
@@ -6,9 +6,10 @@
 {
 
 /**
- * A Boost.MSM machine whose only state is where it is. MSM numbers the states in the
- * order in which the source column of Definition's table first names them; Phase's
- * enumerators stand in the same order. Only for .cpp files: MSM is slow to compile.
+ * A Boost.MSM state machine without data, whose state is exposed as the enum Phase. MSM
+ * numbers the states in the order in which they first appear in the source column of
+ * Definition's transition table; the enumerators of Phase must have the same order.
+ * Include it in .cpp files only, because MSM is slow to compile.
  */
 template<typename Definition, typename Phase>
 class PhaseMachine
--- a/testing/mapswitch_test.cpp
+++ b/testing/mapswitch_test.cpp
@@ -1,5 +1,7 @@
-// One map in every step: all interleavings of small groups within bounds on faults,
-// random ones of larger groups, broken variants, and how long a group stands still.
+// All ranks of a group must run each step on the same expert map. The tests explore all
+// interleavings of small groups with a limited number of faults and random interleavings of
+// larger groups, check that seeded bugs in the protocol are detected, and measure how long
+// a group stalls after each kind of fault.
 
 #include <gtest/gtest.h>
 #include <iostream>
@@ -13,18 +15,18 @@
 namespace
 {
 
-struct ExploreCase {
+struct ExplorationCase {
     const char *name;
     ExplorerOptions options;
 };
 
-/** Names the case in the list of tests. */
-std::ostream &operator<<(std::ostream &out, const ExploreCase &testCase)
+/** Prints the name of the case in the list of tests. */
+std::ostream &operator<<(std::ostream &out, const ExplorationCase &testCase)
 {
     return out << testCase.name;
 }
 
-ExplorerOptions faults(std::uint32_t ranks, unsigned losses, unsigned duplicates, unsigned agents, unsigned engines, unsigned coordinators)
+ExplorerOptions faultLimits(std::uint32_t ranks, unsigned losses, unsigned duplicates, unsigned agents, unsigned engines, unsigned coordinators)
 {
     ExplorerOptions options;
     options.ranks = ranks;
@@ -33,11 +35,11 @@
     options.agentReplacements = agents;
     options.engineRestarts = engines;
     options.coordinatorTakeovers = coordinators;
-    options.resends = losses; // without losses there is nothing to send again
+    options.resends = losses; // a resend matters only if messages can be lost
     return options;
 }
 
-std::string join(const std::vector<std::string> &lines)
+std::string joinLines(const std::vector<std::string> &lines)
 {
     std::string text;
     for (const std::string &line : lines) {
@@ -46,46 +48,46 @@
     return text;
 }
 
-class MapSwitchExploration : public ::testing::TestWithParam<ExploreCase>
+class MapSwitchExploration : public ::testing::TestWithParam<ExplorationCase>
 {
 };
 
-TEST_P(MapSwitchExploration, EveryStepHasOneMap)
+TEST_P(MapSwitchExploration, AllRanksRunEachStepOnTheSameMap)
 {
     const ExplorerResult result = exploreExhaustively(GetParam().options);
     std::cout << GetParam().name << ": " << result.states << " states, " << (result.complete ? "all" : "bounded") << '\n';
-    EXPECT_EQ(result.violation, "") << join(result.path);
+    EXPECT_EQ(result.violation, "") << joinLines(result.trace);
 }
 
 INSTANTIATE_TEST_SUITE_P(All,
                          MapSwitchExploration,
-                         ::testing::Values(ExploreCase{"two_ranks", faults(2, 0, 0, 0, 0, 0)},
-                                           ExploreCase{"two_ranks_loss", faults(2, 1, 0, 0, 0, 0)},
-                                           ExploreCase{"two_ranks_duplicate", faults(2, 0, 1, 0, 0, 0)},
-                                           ExploreCase{"two_ranks_agent", faults(2, 0, 0, 1, 0, 0)},
-                                           ExploreCase{"two_ranks_engine", faults(2, 0, 0, 0, 1, 1)},
-                                           ExploreCase{"two_ranks_coordinator", faults(2, 0, 0, 0, 0, 1)},
-                                           ExploreCase{"three_ranks", faults(3, 0, 0, 0, 0, 0)},
-                                           ExploreCase{"three_ranks_agent", faults(3, 0, 0, 1, 0, 0)}),
+                         ::testing::Values(ExplorationCase{"two_ranks", faultLimits(2, 0, 0, 0, 0, 0)},
+                                           ExplorationCase{"two_ranks_loss", faultLimits(2, 1, 0, 0, 0, 0)},
+                                           ExplorationCase{"two_ranks_duplicate", faultLimits(2, 0, 1, 0, 0, 0)},
+                                           ExplorationCase{"two_ranks_agent", faultLimits(2, 0, 0, 1, 0, 0)},
+                                           ExplorationCase{"two_ranks_engine", faultLimits(2, 0, 0, 0, 1, 1)},
+                                           ExplorationCase{"two_ranks_coordinator", faultLimits(2, 0, 0, 0, 0, 1)},
+                                           ExplorationCase{"three_ranks", faultLimits(3, 0, 0, 0, 0, 0)},
+                                           ExplorationCase{"three_ranks_agent", faultLimits(3, 0, 0, 1, 0, 0)}),
                          [](const auto &info) {
                              return std::string(info.param.name);
                          });
 
-ExplorerOptions walkOptions(std::uint32_t ranks)
+ExplorerOptions randomWalkOptions(std::uint32_t ranks)
 {
-    ExplorerOptions options = faults(ranks, 3, 3, 2, 1, 2);
+    ExplorerOptions options = faultLimits(ranks, 3, 3, 2, 1, 2);
     options.switches = 3;
     options.steps = 8;
     options.resends = 4;
     return options;
 }
 
-TEST(MapSwitch, RandomWalksWithSeveralFaults)
+TEST(MapSwitch, RandomWalksWithSeveralFaultsNeverMixMaps)
 {
     for (const std::uint32_t ranks : {2U, 3U, 4U}) {
-        const ExplorerResult result = exploreRandomWalks(walkOptions(ranks), 3000, 5);
+        const ExplorerResult result = exploreRandomWalks(randomWalkOptions(ranks), 3000, 5);
         std::cout << ranks << " ranks: 3000 walks, " << result.states << " states, seed 5\n";
-        EXPECT_EQ(result.violation, "") << join(result.path);
+        EXPECT_EQ(result.violation, "") << joinLines(result.trace);
     }
 }
 
@@ -94,7 +96,7 @@
     Mutation mutation;
 };
 
-/** Names the case in the list of tests. */
+/** Prints the name of the case in the list of tests. */
 std::ostream &operator<<(std::ostream &out, const MutationCase &testCase)
 {
     return out << testCase.name;
@@ -108,7 +110,7 @@
 {
     const ScopedMutation on(GetParam().mutation);
     for (const std::uint32_t ranks : {2U, 3U}) {
-        const ExplorerResult result = exploreRandomWalks(walkOptions(ranks), 20000, 9);
+        const ExplorerResult result = exploreRandomWalks(randomWalkOptions(ranks), 20000, 9);
         if (!result.violation.empty()) {
             std::cout << GetParam().name << " caught after " << result.states << " states: " << result.violation << '\n';
             return;
@@ -127,7 +129,7 @@
                              return std::string(info.param.name);
                          });
 
-TEST(MapSwitch, NobodyWaitsForEver)
+TEST(MapSwitch, GroupResumesSteppingAfterEveryFault)
 {
     for (int i = 0; i <= static_cast<int>(MapFault::EngineRestarts); ++i) {
         const auto fault = static_cast<MapFault>(i);
