--- a/fulmarlink/gatewayexchange.cpp
+++ b/fulmarlink/gatewayexchange.cpp
@@ -1,4 +1,4 @@
-// The lifecycle of a request: admit() selects the pool and target or refuses, serve() makes
+// The lifecycle of a request: admit() selects the pool and target or refuses, runAttempts() makes
 // attempts until one is answered or nextStep() ends the request, finish() answers the caller.
 //
 // Each co_await is a statement of its own: GCC 12 evaluates both branches of a conditional
@@ -167,7 +167,7 @@
     const RequestDemand demand{.events = expectedEvents(), .timeLeft = m_deadline - m_arrived};
     const Admission admission = admitToPool(m_state, m_pool, demand, {});
     m_group = admission.group;
-    m_admitted = admission.target;
+    m_admittedTarget = admission.target;
     if (!admission.target) {
         m_reason = "load " + twoDecimals(admission.load) + " ceiling " + twoDecimals(admission.ceiling) + " runners " + std::to_string(admission.runners);
         const BlockedRunners blocked = m_state.targets.blocked(m_pool, {}, m_arrived);
@@ -204,7 +204,7 @@
         admitted = co_await claimTrial();
     }
     if (admitted) {
-        co_await serve();
+        co_await runAttempts();
     } else {
         co_await writeLocalReply(m_result, m_retryAfter);
     }
@@ -272,8 +272,8 @@
 /** The runner for the next attempt, or nothing if every group of the pool is closed. */
 std::optional<TargetInfo> GatewayExchange::nextTarget()
 {
-    if (m_admitted) {
-        return std::exchange(m_admitted, std::nullopt);
+    if (m_admittedTarget) {
+        return std::exchange(m_admittedTarget, std::nullopt);
     }
     const Admission admission = admitToPool(m_state, m_pool, {.timeLeft = timeLeft(), .admitted = true}, m_triedTargets);
     if (admission.target) {
@@ -294,7 +294,7 @@
     co_return target;
 }
 
-asio::awaitable<void> GatewayExchange::serve()
+asio::awaitable<void> GatewayExchange::runAttempts()
 {
     PoolState &pool = m_state.pool(m_pool);
     AttemptEnd end = AttemptEnd::NotSent;
--- a/fulmarlink/gatewayexchange.h
+++ b/fulmarlink/gatewayexchange.h
@@ -61,7 +61,7 @@
     bool refuse(ResultCode code, Duration retryAfter = Duration(0));
     const std::string &choosePool();
     boost::asio::awaitable<void> respond();
-    boost::asio::awaitable<void> serve();
+    boost::asio::awaitable<void> runAttempts();
     std::optional<TargetInfo> nextTarget();
     boost::asio::awaitable<std::optional<TargetInfo>> targetToResume();
     PoolGate &gate();
@@ -103,7 +103,7 @@
     std::shared_ptr<const ActiveConfiguration> m_active;
     std::string m_pool;
     std::string m_group; ///< rank group that the last attempt was sent to
-    std::optional<TargetInfo> m_admitted; ///< target chosen at admission, used by the first attempt
+    std::optional<TargetInfo> m_admittedTarget; ///< target chosen at admission, used by the first attempt
     std::string m_customer;
     RequestFingerprint m_fingerprint; ///< set once the customer is known
     TimePoint m_deadline{};
--- a/fulmarlink/gatewayrelay.cpp
+++ b/fulmarlink/gatewayrelay.cpp
@@ -269,7 +269,7 @@
         }
     }
     if (m_events.partial()) {
-        m_reason = "stream: it ended inside an event";
+        m_reason = "stream: ended inside an event";
         m_events.reset();
         co_return AttemptEnd::Broken;
     }
--- a/testing/gateway_test.cpp
+++ b/testing/gateway_test.cpp
@@ -388,10 +388,10 @@
 TEST_F(GatewayTest, StreamMovesFromSlowRunnerWithoutLosingEvents)
 {
     constexpr unsigned kEvents = 60;
-    const auto lease = [this](unsigned renewals, const json::array &slow) {
+    const auto setLease = [this](unsigned renewals, const json::array &slow) {
         store.set("fulmarlink-leases", "plain.g", json::object{{"holder", "other"}, {"renewals", renewals}, {"slow", slow}});
     };
-    lease(1, {});
+    setLease(1, {});
     reportGroups("g", "g");
     a.events = kEvents;
     b.events = kEvents;
@@ -408,7 +408,7 @@
         2s));
     context.run_for(200ms);
     const std::string slow = a.ran.empty() ? "i-b" : "i-a";
-    lease(2, {slow.c_str()});
+    setLease(2, {slow.c_str()});
     EXPECT_TRUE(runUntil(
         [done] {
             return *done;
