--- a/fulmarlink/gateway.cpp
+++ b/fulmarlink/gateway.cpp
@@ -24,30 +24,30 @@
 {
 
 /**
- * Reads of the store begin so often in the bound on a change. Every read is linearizable,
- * so that a change is known in time even where watches hear nothing; what is left of the
- * bound is for the jitter and for an answer that takes a few hundred milliseconds.
+ * Number of store reads started within the bound on a change. Every read is linearizable, so a
+ * change is seen in time even if watches miss it; the rest of the bound allows for jitter and
+ * for an answer that takes a few hundred milliseconds.
  */
-constexpr double kReadsInBound = 1.8;
+constexpr double kReadsPerBound = 1.8;
 constexpr Duration kEntriesInterval = std::chrono::seconds(5); ///< hosts are replaced a few times an hour
-constexpr unsigned kStartRounds = 3; ///< hosts that have started together see each other by then
-constexpr Duration kStartInterval = std::chrono::milliseconds(400);
-constexpr Duration kLimitedInterval = std::chrono::seconds(1); ///< while hosts share a runner's limit, so that a new one is counted soon
-constexpr Duration kEntryWrites = std::chrono::milliseconds(50); ///< all hosts together renew what they write of themselves 20 times a second at most
-constexpr Duration kDropGone = std::chrono::minutes(1); ///< runners whose entry lapsed in an outage are back long before
-constexpr Duration kStoreRetry = std::chrono::milliseconds(250); ///< after a refusal or an outage; a fifth of the store's read rate if 100 entries do it
+constexpr unsigned kStartupRounds = 3; ///< reads after which hosts that started together have discovered each other
+constexpr Duration kStartupInterval = std::chrono::milliseconds(400);
+constexpr Duration kSharedLimitInterval = std::chrono::seconds(1); ///< while hosts share a runner's limit, so that a new host is counted soon
+constexpr Duration kEntryWriteSpacing = std::chrono::milliseconds(50); ///< all hosts together renew their entries at most 20 times a second
+constexpr Duration kUnlistedRemovalInterval = std::chrono::minutes(1); ///< runners whose entry expired in an outage are listed again long before
+constexpr Duration kStoreRetry = std::chrono::milliseconds(250); ///< after a refusal or an outage; a fifth of the store's read rate if 100 hosts do so
 constexpr Duration kHousekeeping = std::chrono::milliseconds(200);
-constexpr Duration kDrainLeast = std::chrono::milliseconds(2600); ///< the platform asks each second and takes a host out after two misses
+constexpr Duration kMinDrainTime = std::chrono::milliseconds(2600); ///< the platform probes readiness each second and removes a host after two failures
 constexpr unsigned kHttpOk = 200;
 constexpr unsigned kHttpUnavailable = 503;
 constexpr unsigned kHttpNotFound = 404;
 
-Duration interval(std::chrono::milliseconds bound)
+Duration readInterval(std::chrono::milliseconds bound)
 {
-    return Duration(static_cast<Duration::rep>(static_cast<double>(Duration(bound).count()) / kReadsInBound));
+    return Duration(static_cast<Duration::rep>(static_cast<double>(Duration(bound).count()) / kReadsPerBound));
 }
 
-std::string joined(const std::vector<std::string> &values)
+std::string joinWithCommas(const std::vector<std::string> &values)
 {
     std::string result;
     for (const std::string &value : values) {
@@ -70,7 +70,7 @@
     , m_server(context.get_executor(), m_state)
     , m_configVersion(m_counters.registerCounter("fulmarlink_rules_version"))
     , m_proofAge(m_counters.registerCounter("fulmarlink_configuration_proof_age_ms"))
-    , m_requestsNow(m_counters.registerCounter("fulmarlink_requests_in_progress"))
+    , m_requestsInProgress(m_counters.registerCounter("fulmarlink_requests_in_progress"))
     , m_staleConfigurations(m_counters.registerCounter("fulmarlink_stale_configurations_total"))
 {
     m_state.connections = &m_connections;
@@ -106,13 +106,13 @@
 {
     startHttp();
     m_server.listen();
-    keepRunning("configuration", &Gateway::configurationLoop);
-    keepRunning("targets", &Gateway::targetsLoop);
-    keepRunning("entries", &Gateway::entriesLoop);
-    keepRunning("housekeeping", &Gateway::housekeeping);
-    keepRunning("crash-records", &Gateway::crashRecordsLoop);
-    keepRunning("crash-publishing", &Gateway::crashPublishingLoop);
-    keepRunning("limit-publishing", &Gateway::limitPublishingLoop);
+    spawnSupervised("configuration", &Gateway::configurationLoop);
+    spawnSupervised("targets", &Gateway::targetsLoop);
+    spawnSupervised("entries", &Gateway::entriesLoop);
+    spawnSupervised("housekeeping", &Gateway::housekeeping);
+    spawnSupervised("crash-records", &Gateway::crashRecordsLoop);
+    spawnSupervised("crash-publishing", &Gateway::crashPublishingLoop);
+    spawnSupervised("limit-publishing", &Gateway::limitPublishingLoop);
     logChange("started",
               {{"host", m_state.settings.host},
                {"zone", m_state.settings.zone},
@@ -120,7 +120,7 @@
                {"version", FULMARLINK_VERSION}});
 }
 
-void Gateway::keepRunning(std::string name, asio::awaitable<void> (Gateway::*loop)())
+void Gateway::spawnSupervised(std::string name, asio::awaitable<void> (Gateway::*loop)())
 {
     asio::co_spawn(m_context, supervised(m_context, m_counters, std::move(name), std::bind_front(loop, this)), asio::detached);
 }
@@ -148,7 +148,7 @@
 
 bool Gateway::drained() const
 {
-    return m_clock.now() - m_state.drainStartedAt.value_or(m_clock.now()) >= kDrainLeast && m_state.unansweredRequests == 0;
+    return m_clock.now() - m_state.drainStartedAt.value_or(m_clock.now()) >= kMinDrainTime && m_state.unansweredRequests == 0;
 }
 
 void Gateway::cutAll()
@@ -165,8 +165,8 @@
 
 void Gateway::reload(GatewaySettings settings)
 {
-    const bool addresses = settings.callers.port == m_state.settings.callers.port && settings.callers.address == m_state.settings.callers.address;
-    logChange("reloaded", {{"addresses_kept", addresses ? "true" : "false: they change at the next start"}});
+    const bool addressesKept = settings.callers.port == m_state.settings.callers.port && settings.callers.address == m_state.settings.callers.address;
+    logChange("reloaded", {{"addresses_kept", addressesKept ? "true" : "false: they change at the next start"}});
     m_state.settings = std::move(settings);
     for (auto &[name, pool] : m_state.pools) {
         pool.budget.setOptions(m_state.budgetOptions());
@@ -185,7 +185,7 @@
     return Duration(std::uniform_int_distribution<Duration::rep>(duration.count() * 9 / 10, duration.count() * 11 / 10)(m_state.random));
 }
 
-void Gateway::noteStore(bool reachable, const std::string &call, const std::string &error)
+void Gateway::updateStoreStatus(bool reachable, const std::string &call, const std::string &error)
 {
     if (reachable == m_storeReachable) {
         return;
@@ -203,21 +203,21 @@
 {
     for (;;) {
         ConfigurationRead read = co_await m_adapters.platform->readConfiguration();
-        noteStore(!read.error || read.error == ResultCode::ObjectNotFound, "configuration", read.error.message());
+        updateStoreStatus(!read.error || read.error == ResultCode::ObjectNotFound, "configuration", read.error.message());
         if (!read.error) {
             const std::uint64_t offered = read.configuration ? read.configuration->version : m_state.config.version();
             if (read.configuration && m_state.config.offer(std::move(*read.configuration))) {
-                const Configuration &taken = m_state.config.active()->configuration;
-                m_counters.set(m_configVersion, taken.version);
+                const Configuration &accepted = m_state.config.active()->configuration;
+                m_counters.set(m_configVersion, accepted.version);
                 logChange("configuration-in-force",
-                          {{"config", std::to_string(taken.version)},
-                           {"routes", std::to_string(taken.routes.size())},
-                           {"customers", std::to_string(taken.customers.size())},
+                          {{"config", std::to_string(accepted.version)},
+                           {"routes", std::to_string(accepted.routes.size())},
+                           {"customers", std::to_string(accepted.customers.size())},
                            {"read_ms", std::to_string((m_clock.now() - read.began).count() / 1000)}});
             }
             if (m_state.config.active()) {
                 watchGroups();
-                shareConnections();
+                updateConnectionLimits();
             }
             if (offered >= m_state.config.version()) {
                 m_state.config.confirm(read.began);
@@ -226,12 +226,11 @@
                 logWarning("configuration-older", {{"offered", std::to_string(offered)}, {"config", std::to_string(m_state.config.version())}});
             }
         }
-        co_await sleep(jittered(read.error ? kStoreRetry : interval(m_state.settings.configurationBound)));
+        co_await sleep(jittered(read.error ? kStoreRetry : readInterval(m_state.settings.configurationBound)));
     }
 }
 
-/** What a runner takes from all hosts together is divided among those that live. */
-void Gateway::shareConnections()
+void Gateway::updateConnectionLimits()
 {
     const auto active = m_state.config.active();
     if (!active) {
@@ -257,12 +256,12 @@
     }
 }
 
-void Gateway::noteTargets(const TargetsRead &read)
+void Gateway::updateTargets(const TargetsRead &read)
 {
     if (read.changed) {
-        m_listed = read.targets;
+        m_listedTargets = read.targets;
     }
-    const TargetChanges changes = m_state.targets.setTargets(m_listed, m_clock.now());
+    const TargetChanges changes = m_state.targets.setTargets(m_listedTargets, m_clock.now());
     m_targetsKnown = true;
     for (const std::string &id : changes.restarted) {
         m_connections.closeIdleTo(id);
@@ -273,22 +272,22 @@
         return;
     }
     logChange("targets-changed",
-              {{"added", joined(changes.added)},
-               {"restarted", joined(changes.restarted)},
-               {"leaving", joined(changes.leaving)},
-               {"gone", joined(changes.gone)},
-               {"listed", std::to_string(m_listed.size())}});
+              {{"added", joinWithCommas(changes.added)},
+               {"restarted", joinWithCommas(changes.restarted)},
+               {"leaving", joinWithCommas(changes.leaving)},
+               {"gone", joinWithCommas(changes.gone)},
+               {"listed", std::to_string(m_listedTargets.size())}});
 }
 
 asio::awaitable<void> Gateway::targetsLoop()
 {
     for (;;) {
         const TargetsRead read = co_await m_adapters.platform->readTargets();
-        noteStore(!read.error || read.error == ResultCode::ObjectNotFound, "targets", read.error.message());
+        updateStoreStatus(!read.error || read.error == ResultCode::ObjectNotFound, "targets", read.error.message());
         if (!read.error) {
-            noteTargets(read);
+            updateTargets(read);
         }
-        co_await sleep(jittered(read.error ? kStoreRetry : interval(m_state.settings.leavingBound)));
+        co_await sleep(jittered(read.error ? kStoreRetry : readInterval(m_state.settings.leavingBound)));
     }
 }
 
@@ -301,31 +300,31 @@
         std::error_code error;
         if (renews) {
             error = co_await m_adapters.platform->renewEntry(m_state.settings.host, ++renewals);
-            const Duration usual = std::max(kEntriesInterval, kEntryWrites * m_state.entries);
-            m_renewEntryAt = began + jittered(error ? usual / 5 : usual);
+            const Duration renewInterval = std::max(kEntriesInterval, kEntryWriteSpacing * m_state.entries);
+            m_renewEntryAt = began + jittered(error ? renewInterval / 5 : renewInterval);
         }
         const EntriesRead read = co_await m_adapters.platform->readEntries();
         if (read.error) {
             m_liveHosts.recordFailedRead();
         } else {
-            noteEntries(read, renews && !error, round >= kStartRounds);
+            updateEntries(read, renews && !error, round >= kStartupRounds);
         }
-        const Duration least = round < kStartRounds ? kStartInterval : kLimitedInterval;
-        const bool soon = round < kStartRounds || read.error || m_state.signals.limits.size() > 0;
-        co_await sleep(jittered(soon ? least : std::max(least, m_renewEntryAt - m_clock.now())));
+        const Duration minInterval = round < kStartupRounds ? kStartupInterval : kSharedLimitInterval;
+        const bool soon = round < kStartupRounds || read.error || m_state.signals.limits.size() > 0;
+        co_await sleep(jittered(soon ? minInterval : std::max(minInterval, m_renewEntryAt - m_clock.now())));
     }
 }
 
-/** @p counts: so much time has passed since the last reading that counted that living hosts have renewed their records. */
-void Gateway::noteEntries(const EntriesRead &read, bool counts, bool complete)
+/** @p renewalsDue: enough time has passed since the last read with this flag that every live host has renewed its entry. */
+void Gateway::updateEntries(const EntriesRead &read, bool renewalsDue, bool complete)
 {
-    counts ? m_liveHosts.recordRead(read.entries) : m_liveHosts.recordIntermediateRead(read.entries);
+    renewalsDue ? m_liveHosts.recordRead(read.entries) : m_liveHosts.recordIntermediateRead(read.entries);
     const std::vector<std::string> hosts = m_liveHosts.hosts();
     m_state.entries = std::max<unsigned>(1, static_cast<unsigned>(hosts.size()));
     for (auto &[name, pool] : m_state.pools) {
         pool.budget.setOptions(m_state.budgetOptions());
     }
-    shareConnections();
+    updateConnectionLimits();
     if (complete) {
         m_limitWatch.setHosts(hosts);
     }
@@ -337,14 +336,14 @@
         co_await sleep(kHousekeeping);
         m_connections.sweep(m_state.targets);
         m_signalWatch.expireBackoffs();
-        if (m_clock.now() - m_droppedGone >= kDropGone) {
-            m_droppedGone = m_clock.now();
+        if (m_clock.now() - m_unlistedRemovedAt >= kUnlistedRemovalInterval) {
+            m_unlistedRemovedAt = m_clock.now();
             m_limitWatch.removeUnlistedRunners();
             m_signalWatch.removeUnlistedRunners();
         }
-        m_counters.set(m_requestsNow, m_state.unansweredRequests);
+        m_counters.set(m_requestsInProgress, m_state.unansweredRequests);
         m_counters.set(m_proofAge, static_cast<std::uint64_t>(m_state.config.age(m_clock.now()).count() / 1000));
-        if (m_state.drainStartedAt && m_clock.now() - *m_state.drainStartedAt >= kDrainLeast) {
+        if (m_state.drainStartedAt && m_clock.now() - *m_state.drainStartedAt >= kMinDrainTime) {
             m_server.closeIdle();
         }
         flushLog();
--- a/fulmarlink/gateway.h
+++ b/fulmarlink/gateway.h
@@ -25,17 +25,17 @@
 class GroupWatch;
 class Platform;
 
-/** The edges of a gateway that differ from platform to platform. */
+/** Platform-specific parts of a gateway. */
 struct GatewayAdapters {
     std::unique_ptr<CallerProtocol> protocol;
     std::unique_ptr<Platform> platform;
 };
 
 /**
- * An entry host's process on a platform whose runners are called directly: callers'
- * server, the store's configuration and runners, readiness and metrics.
+ * The process of an entry host on a platform whose runners are called directly: the server
+ * for callers, the reads of configuration and runners from the store, readiness and metrics.
  *
- * One thread runs it: a host gives it a fifth of a core, so threads would only take
+ * Runs on one thread: a host gives it a fifth of a core, so more threads would only take
  * turns, and decisions need no locks.
  */
 class Gateway
@@ -46,14 +46,14 @@
     ~Gateway();
 
     void start();
-    /** Not ready any more; answers what comes, and asks callers to connect elsewhere. */
+    /** Reports not ready; requests are still answered, and callers are asked to connect to another host. */
     void startDrain();
-    /** True when the platform has had time to send connections elsewhere and nothing is unanswered. */
+    /** True once the platform has had time to route callers to other hosts and no request is in progress. */
     bool drained() const;
-    /** Nothing can be done for requests that run at the shutdown limit; they are counted. */
+    /** Logs the number of requests that are still in progress at the shutdown limit; they are lost. */
     void cutAll();
     void stop();
-    /** Takes over what may change while the process runs. */
+    /** Applies new settings. Changed listening addresses take effect only at the next start. */
     void reload(GatewaySettings settings);
     bool ready() const;
 
@@ -65,14 +65,15 @@
     boost::asio::awaitable<void> crashRecordsLoop();
     boost::asio::awaitable<void> crashPublishingLoop();
     boost::asio::awaitable<void> limitPublishingLoop();
-    void keepRunning(std::string name, boost::asio::awaitable<void> (Gateway::*loop)());
+    void spawnSupervised(std::string name, boost::asio::awaitable<void> (Gateway::*loop)());
     boost::asio::awaitable<void> sleep(Duration duration);
-    void shareConnections();
-    /** Begins to watch the groups of pools that are new in the configuration and have experts. */
+    /** Divides each service's connection limit among the live hosts. */
+    void updateConnectionLimits();
+    /** Starts a GroupWatch for each pool with experts that has none yet. */
     void watchGroups();
-    void noteStore(bool reachable, const std::string &call, const std::string &error);
-    void noteTargets(const struct TargetsRead &read);
-    void noteEntries(const struct EntriesRead &read, bool counts, bool complete);
+    void updateStoreStatus(bool reachable, const std::string &call, const std::string &error);
+    void updateTargets(const struct TargetsRead &read);
+    void updateEntries(const struct EntriesRead &read, bool renewalsDue, bool complete);
     Duration jittered(Duration duration);
     void startHttp();
 
@@ -91,14 +92,14 @@
     std::map<std::string, std::shared_ptr<GroupWatch>> m_groupWatches; ///< by pool
     Counters::Id m_configVersion;
     Counters::Id m_proofAge;
-    Counters::Id m_requestsNow;
+    Counters::Id m_requestsInProgress;
     Counters::Id m_staleConfigurations;
     LiveHosts m_liveHosts;
-    TimePoint m_renewEntryAt{}; ///< when this host next writes that it lives
-    TimePoint m_droppedGone{}; ///< when limits of runners that are gone were last looked for
+    TimePoint m_renewEntryAt{}; ///< time of this host's next liveness write
+    TimePoint m_unlistedRemovedAt{}; ///< when state of unlisted runners was last removed
     bool m_storeReachable = true;
     bool m_targetsKnown = false;
-    std::vector<TargetInfo> m_listed; ///< the newest list
+    std::vector<TargetInfo> m_listedTargets; ///< from the latest read
 };
 
 } // namespace fulmarlink
--- a/fulmarlink/gatewayserver.cpp
+++ b/fulmarlink/gatewayserver.cpp
@@ -28,13 +28,13 @@
 namespace
 {
 
-constexpr std::size_t kFirstRead = 4096;
+constexpr std::size_t kFirstReadBytes = 4096;
 constexpr int kBacklog = 1024;
-constexpr std::chrono::milliseconds kAcceptPause{20}; ///< when descriptors have run out
-constexpr std::chrono::milliseconds kBodyTimeout{10'000}; ///< a body of the largest size over a slow link
-constexpr std::chrono::milliseconds kRefusalTimeout{2000};
+constexpr std::chrono::milliseconds kAcceptRetryDelay{20}; ///< delay before the next accept after a failure, as when file descriptors have run out
+constexpr std::chrono::milliseconds kBodyTimeout{10'000}; ///< enough for a body of the maximum size over a slow link
+constexpr std::chrono::milliseconds kRejectionTimeout{2000};
 
-ResultCode inputCode(const boost::system::error_code &error)
+ResultCode unreadableRequestCode(const boost::system::error_code &error)
 {
     if (error == http::error::header_limit) {
         return ResultCode::HeaderTooLarge;
@@ -45,42 +45,42 @@
     return error == boost::beast::error::timeout ? ResultCode::SlowSender : ResultCode::MalformedRequest;
 }
 
-/** Ends a read after a while without closing the connection, so that the caller can be told. */
-class ReadLimit
+/** Cancels a read after a timeout without closing the connection, so that an error response can still be sent. */
+class ReadTimeout
 {
 public:
-    ReadLimit(const asio::any_io_executor &executor, boost::beast::tcp_stream &stream)
+    ReadTimeout(const asio::any_io_executor &executor, boost::beast::tcp_stream &stream)
         : m_timer(executor)
         , m_stream(stream)
-        , m_passed(std::make_shared<bool>(false))
+        , m_expired(std::make_shared<bool>(false))
     {
     }
 
-    void begin(std::chrono::milliseconds time)
+    void start(std::chrono::milliseconds time)
     {
         m_timer.expires_after(time);
-        m_timer.async_wait([passed = m_passed, &stream = m_stream](const boost::system::error_code &error) {
-            if (!error && passed.use_count() > 1) {
-                *passed = true;
+        m_timer.async_wait([expired = m_expired, &stream = m_stream](const boost::system::error_code &error) {
+            if (!error && expired.use_count() > 1) {
+                *expired = true;
                 stream.cancel();
             }
         });
     }
 
-    void end()
+    void stop()
     {
         m_timer.cancel();
     }
 
-    bool passed() const
+    bool expired() const
     {
-        return *m_passed;
+        return *m_expired;
     }
 
 private:
     asio::steady_timer m_timer;
     boost::beast::tcp_stream &m_stream;
-    std::shared_ptr<bool> m_passed; ///< shared with a wait that may end after this object
+    std::shared_ptr<bool> m_expired; ///< shared with the timer handler, which may outlive this object
 };
 
 } // namespace
@@ -93,14 +93,14 @@
 
     boost::beast::tcp_stream stream;
     boost::beast::flat_buffer buffer;
-    GatewayExchange *exchange = nullptr; ///< the request that is being answered
+    GatewayExchange *exchange = nullptr; ///< the request in progress; null: none
     bool watching = false;
-    bool reading = false; ///< a request has begun to arrive
+    bool reading = false; ///< at least one byte of the current request has arrived
 
-    /** No byte of a request is here, read or unread. */
+    /** True if no request is in progress and no byte of one has arrived, read or unread. */
     bool idle()
     {
-        boost::system::error_code ignored; // a broken connection has nothing unread
+        boost::system::error_code ignored; // a broken connection has no unread bytes
         return exchange == nullptr && !reading && buffer.size() == 0 && stream.socket().available(ignored) == 0;
     }
 };
@@ -129,7 +129,7 @@
 
 void GatewayServer::stop()
 {
-    boost::system::error_code ignored; // the process ends
+    boost::system::error_code ignored; // the process is about to exit
     m_acceptor.close(ignored);
 }
 
@@ -153,7 +153,7 @@
         if (error) {
             m_state.counters.add(m_acceptFailures);
             logWarning("accept-failed", {{"error", error.message()}});
-            asio::steady_timer timer(m_executor, kAcceptPause);
+            asio::steady_timer timer(m_executor, kAcceptRetryDelay);
             co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, error));
             continue;
         }
@@ -167,27 +167,27 @@
 {
     m_connections.insert(connection.get());
     tuneSocket(connection->stream);
-    std::exception_ptr error;
+    std::exception_ptr failure;
     try {
         bool again = true;
         while (again) {
-            again = co_await serveOne(connection);
+            again = co_await serveRequest(connection);
         }
     } catch (...) {
-        // A request that breaks its handler must cost its own connection only: it comes again, at this host or at another.
-        error = std::current_exception();
+        // An exception in the handling of a request must close only its own connection: the same request may be sent again, to this host or another.
+        failure = std::current_exception();
     }
-    if (error) {
+    if (failure) {
         m_state.counters.add(m_exceptions);
-        logWarning("request-broke-off", {{"error", whatOf(error)}});
+        logWarning("request-broke-off", {{"error", whatOf(failure)}});
     }
     connection->exchange = nullptr;
     m_connections.erase(connection.get());
     connection->stream.close();
 }
 
-/** Looks at the caller's socket while its request is answered: an end there means that nobody waits. */
-void GatewayServer::watch(const std::shared_ptr<Connection> &connection)
+/** Waits for the caller to close the connection while its request is answered, so that the exchange can stop work that nobody waits for. */
+void GatewayServer::watchForDisconnect(const std::shared_ptr<Connection> &connection)
 {
     if (connection->watching) {
         return;
@@ -199,8 +199,8 @@
             return;
         }
         char byte = 0;
-        const auto got = error ? 0 : recv(connection->stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-        if (got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK)) {
+        const auto received = error ? 0 : recv(connection->stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+        if (received == 0 || (received < 0 && errno != EAGAIN && errno != EWOULDBLOCK)) {
             connection->exchange->callerGone();
         }
     });
@@ -215,8 +215,8 @@
     connection.reading = connection.buffer.size() > 0;
     if (!connection.reading) {
         connection.stream.expires_after(limits.idleTimeout);
-        const std::size_t bytes = co_await connection.stream.async_read_some(connection.buffer.prepare(kFirstRead), token);
-        // Closed between the read and this line: nobody would get the answer, so the request is not taken.
+        const std::size_t bytes = co_await connection.stream.async_read_some(connection.buffer.prepare(kFirstReadBytes), token);
+        // closeIdle() may have closed the socket after the read completed; the answer could not be delivered, so the request is not accepted.
         const bool closed = !connection.stream.socket().is_open();
         if (error || bytes == 0 || closed) {
             co_return false;
@@ -227,48 +227,48 @@
     parser.header_limit(static_cast<std::uint32_t>(limits.maxHeaderBytes));
     parser.body_limit(limits.maxBodyBytes);
     connection.stream.expires_never();
-    ReadLimit limit(m_executor, connection.stream);
-    limit.begin(limits.headerTimeout);
+    ReadTimeout timeout(m_executor, connection.stream);
+    timeout.start(limits.headerTimeout);
     co_await http::async_read_header(connection.stream, connection.buffer, parser, token);
     if (!error && !parser.is_done()) {
-        limit.begin(kBodyTimeout);
+        timeout.start(kBodyTimeout);
         if (boost::beast::iequals(parser.get()[http::field::expect], "100-continue")) {
-            http::response<http::empty_body> go(http::status::continue_, 11);
-            co_await http::async_write(connection.stream, go, token);
+            http::response<http::empty_body> continueResponse(http::status::continue_, 11);
+            co_await http::async_write(connection.stream, continueResponse, token);
         }
         if (!error) {
             co_await http::async_read(connection.stream, connection.buffer, parser, token);
         }
     }
-    limit.end();
+    timeout.stop();
     if (error) {
-        co_await refuseInput(connection, parser, limit.passed() ? make_error_code(boost::beast::error::timeout) : error);
+        co_await rejectUnreadable(connection, parser, timeout.expired() ? make_error_code(boost::beast::error::timeout) : error);
     }
     co_return !error;
 }
 
-asio::awaitable<void> GatewayServer::refuseInput(Connection &connection, const RequestParser &parser, boost::system::error_code error)
+asio::awaitable<void> GatewayServer::rejectUnreadable(Connection &connection, const RequestParser &parser, boost::system::error_code error)
 {
-    const ResultCode code = inputCode(error);
+    const ResultCode code = unreadableRequestCode(error);
     const bool closed = error == http::error::end_of_stream || error == http::error::partial_message || error.category() == asio::error::get_system_category();
     logRequest("request-unreadable", {{"result", resultInfo(code).name}, {"error", error.message()}, {"caller_closed", closed ? "true" : "false"}});
     if (closed) {
         co_return;
     }
     m_state.counters.countResult(code);
-    const CallerRequest facts = m_state.protocol.readRequest(parser.get());
+    const CallerRequest callerRequest = m_state.protocol.readRequest(parser.get());
     HttpResponse response(static_cast<http::status>(resultInfo(code).httpStatus), 11);
-    m_state.protocol.writeOwnAnswer(response, facts.attemptId, std::nullopt);
+    m_state.protocol.writeOwnAnswer(response, callerRequest.attemptId, std::nullopt);
     response.keep_alive(false);
     response.body() = std::string(resultInfo(code).meaning) + '\n';
     response.prepare_payload();
-    boost::system::error_code ignored; // the connection is closed after this in any case
-    connection.stream.expires_after(kRefusalTimeout);
+    boost::system::error_code ignored; // the connection is closed in either case
+    connection.stream.expires_after(kRejectionTimeout);
     co_await http::async_write(connection.stream, response, asio::redirect_error(asio::use_awaitable, ignored));
     connection.stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
 }
 
-asio::awaitable<bool> GatewayServer::serveOne(const std::shared_ptr<Connection> &connection)
+asio::awaitable<bool> GatewayServer::serveRequest(const std::shared_ptr<Connection> &connection)
 {
     RequestParser parser;
     const bool read = co_await readRequest(*connection, parser);
@@ -279,7 +279,7 @@
     const bool keepAlive = parser.keep_alive();
     GatewayExchange exchange(m_state, connection->stream, parser.release(), keepAlive);
     connection->exchange = &exchange;
-    watch(connection);
+    watchForDisconnect(connection);
     const bool again = co_await exchange.run();
     connection->exchange = nullptr;
     connection->reading = false;
--- a/fulmarlink/gatewayserver.h
+++ b/fulmarlink/gatewayserver.h
@@ -13,8 +13,8 @@
 {
 
 /**
- * HTTP/1.1 for callers of the gateway: reads whole requests within the configuration's
- * limits, hands each to a GatewayExchange, and tells it when its caller leaves.
+ * HTTP/1.1 server for callers. Reads complete requests within the configured limits, passes each
+ * to a GatewayExchange, and notifies the exchange when its caller disconnects.
  */
 class GatewayServer
 {
@@ -22,9 +22,9 @@
     GatewayServer(const boost::asio::any_io_executor &executor, GatewayState &state);
     ~GatewayServer();
 
-    /** Throws if the address can't be bound. */
+    /** Starts to accept connections. Throws if the address can't be bound. */
     void listen();
-    /** Closes connections on which no request has begun. */
+    /** Closes connections on which no byte of a request has arrived and none is in progress. */
     void closeIdle();
     void stop();
 
@@ -34,10 +34,10 @@
 
     boost::asio::awaitable<void> acceptLoop();
     boost::asio::awaitable<void> serve(std::shared_ptr<Connection> connection);
-    boost::asio::awaitable<bool> serveOne(const std::shared_ptr<Connection> &connection);
+    boost::asio::awaitable<bool> serveRequest(const std::shared_ptr<Connection> &connection);
     boost::asio::awaitable<bool> readRequest(Connection &connection, RequestParser &parser);
-    boost::asio::awaitable<void> refuseInput(Connection &connection, const RequestParser &parser, boost::system::error_code error);
-    static void watch(const std::shared_ptr<Connection> &connection);
+    boost::asio::awaitable<void> rejectUnreadable(Connection &connection, const RequestParser &parser, boost::system::error_code error);
+    static void watchForDisconnect(const std::shared_ptr<Connection> &connection);
 
     boost::asio::any_io_executor m_executor;
     GatewayState &m_state;
--- a/fulmarlink/gatewaysettings.cpp
+++ b/fulmarlink/gatewaysettings.cpp
@@ -10,13 +10,13 @@
 {
 
 constexpr std::uint64_t kMaxMs = 3'600'000;
-constexpr std::uint64_t kMaxKeepMs = 604'800'000; ///< a week: a host that starts reads all records
+constexpr std::uint64_t kMaxRetentionMs = 604'800'000; ///< one week; limits the records that a starting host has to read
 constexpr double kMaxRatio = 10;
 constexpr double kMaxSlack = 1e6;
 constexpr double kMaxWeight = 1e3;
 constexpr double kMaxLinkMbps = 1e6;
 
-/** ADDRESS:PORT */
+/** Parses ADDRESS:PORT; an optional key that is absent yields port 0. */
 HttpTarget readAddress(const YamlReader &reader, std::string_view key, bool required)
 {
     HttpTarget target;
@@ -29,19 +29,19 @@
     target.address = text.substr(0, colon);
     boost::asio::ip::make_address(target.address, error);
     const std::string_view port = colon == std::string::npos ? std::string_view() : std::string_view(text).substr(colon + 1);
-    const auto [end, wrong] = std::from_chars(port.data(), port.data() + port.size(), target.port);
-    if (!text.empty() && (error || wrong != std::errc() || end != port.data() + port.size())) {
-        reader.child(key).expected("an IP number and a port, as 10.0.0.1:8080");
+    const auto [end, portError] = std::from_chars(port.data(), port.data() + port.size(), target.port);
+    if (!text.empty() && (error || portError != std::errc() || end != port.data() + port.size())) {
+        reader.child(key).expected("an IP address and a port, such as 10.0.0.1:8080");
     }
     return target;
 }
 
-std::chrono::milliseconds readMs(const YamlReader &reader, std::string_view key, std::chrono::milliseconds fallback, std::uint64_t most = kMaxMs)
+std::chrono::milliseconds readMs(const YamlReader &reader, std::string_view key, std::chrono::milliseconds fallback, std::uint64_t maximum = kMaxMs)
 {
-    return std::chrono::milliseconds(reader.number(key, static_cast<std::uint64_t>(fallback.count()), 1, most));
+    return std::chrono::milliseconds(reader.number(key, static_cast<std::uint64_t>(fallback.count()), 1, maximum));
 }
 
-std::chrono::milliseconds asMs(Duration duration)
+std::chrono::milliseconds toMilliseconds(Duration duration)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration);
 }
@@ -75,10 +75,10 @@
     settings.retrySlack = bounds.real("retry_slack", settings.retrySlack, 0, kMaxSlack);
     const YamlReader crashes = reader.child("crashes");
     crashes.keys({"hold_ms", "well_ms", "keep_ms", "keep_held_ms"});
-    settings.crashes.holdTime = readMs(crashes, "hold_ms", asMs(settings.crashes.holdTime));
-    settings.crashes.completionWindow = readMs(crashes, "well_ms", asMs(settings.crashes.completionWindow));
-    settings.crashes.retention = readMs(crashes, "keep_ms", settings.crashes.retention, kMaxKeepMs);
-    settings.crashes.heldRetention = readMs(crashes, "keep_held_ms", settings.crashes.heldRetention, kMaxKeepMs);
+    settings.crashes.holdTime = readMs(crashes, "hold_ms", toMilliseconds(settings.crashes.holdTime));
+    settings.crashes.completionWindow = readMs(crashes, "well_ms", toMilliseconds(settings.crashes.completionWindow));
+    settings.crashes.retention = readMs(crashes, "keep_ms", settings.crashes.retention, kMaxRetentionMs);
+    settings.crashes.heldRetention = readMs(crashes, "keep_held_ms", settings.crashes.heldRetention, kMaxRetentionMs);
     const YamlReader planner = reader.child("planner");
     planner.keys({"skew_weight", "cost_weight", "sampled_ranks", "first_copies_ms", "copies_ms", "least_improvement", "rest_share"});
     settings.sampledRanks = static_cast<unsigned>(planner.number("sampled_ranks", settings.sampledRanks, 1, 1000));
--- a/fulmarlink/gatewaysettings.h
+++ b/fulmarlink/gatewaysettings.h
@@ -12,45 +12,49 @@
 {
 
 /**
- * Settings of an entry host's process that calls runners directly. The figures that
- * bound what the system promises come from the platform's settings by the template.
+ * Settings of the gateway process on an entry host, which calls runners directly. The limits behind the
+ * system's guarantees come from the platform's settings, by way of the configuration template.
  */
 struct GatewaySettings {
     std::string host;
     std::string zone;
     std::string logLevel = "info";
-    HttpTarget callers; ///< where callers connect
-    HttpTarget readiness; ///< where the platform asks whether this host takes connections
-    HttpTarget metrics; ///< port 0: none
+    HttpTarget callers; ///< listening address for callers
+    HttpTarget readiness; ///< listening address of the platform's readiness probe
+    HttpTarget metrics; ///< port 0: no metrics server
     HttpTarget store;
-    std::chrono::milliseconds revokeBound{5000}; ///< a key that was taken away runs nowhere after this
-    std::chrono::milliseconds configurationBound{2000}; ///< a change is in force after this
-    std::chrono::milliseconds leavingBound{2000}; ///< a leaving runner gets no work after this
-    std::chrono::milliseconds shutdownLimit{8000}; ///< from SIGTERM to SIGKILL
-    std::chrono::milliseconds stallTimeout{1500}; ///< work that depends on a dead rank stands still for so long before it is cut off
+    std::chrono::milliseconds revokeBound{5000}; ///< maximum time from the revocation of a key until no host runs requests with it
+    std::chrono::milliseconds configurationBound{2000}; ///< maximum time until a configuration change takes effect
+    std::chrono::milliseconds leavingBound{2000}; ///< maximum time until a leaving runner gets no more requests
+    std::chrono::milliseconds shutdownLimit{8000}; ///< time between SIGTERM and SIGKILL
+    std::chrono::milliseconds stallTimeout{1500}; ///< how long work that depends on a dead rank makes no progress before it is aborted
     std::chrono::milliseconds retryWindow{10'000};
-    double retryRatio = 0.2; ///< repeats for each request of the window, over all entries
-    double retrySlack = 90; ///< and so many more
-    CrashPolicy crashes; ///< when a request under which runners ended is held back, and for how long
-    double linkMbps = 0; ///< of this host; 0: not known. Hosts with faster links give the orders to a group
-    double skewWeight = 1; ///< worth of steps that are shorter, against...
-    double costWeight = 1; ///< ...the price of moving experts
+    double retryRatio = 0.2; ///< retries allowed per request in the window, over all entry hosts
+    double retrySlack = 90; ///< retries allowed in addition to retryRatio, in the window over all entry hosts
+    CrashPolicy crashes; ///< when and for how long a request that crashed runners is held back
+    double linkMbps = 0; ///< link speed of this host; 0: unknown. Hosts with faster links are preferred as controllers of a rank group
+    double skewWeight = 1; ///< weight of the gain from shorter passes
+    double costWeight = 1; ///< weight of the cost of moving experts, relative to skewWeight
     /**
-     * Ranks of a group whose counts are read to see what is in demand. Requests spread evenly, so two stand for all: 5 cost 0.02 to 0.03 of worth more,
-     * also by the passes that stop while counts are read, and served nobody better by 20 to 30 plays on four sites.
+     * Number of ranks per group whose expert counts are read to estimate demand. Requests spread evenly over the ranks, so two are representative.
+     * Reading 5 cost 0.02 to 0.03 more of the score, partly because passes stop while counts are read, and served no request better (20 to 30 runs, four
+     * sites).
      */
     unsigned sampledRanks = 2;
     /**
-     * Copies of a first switch after a turn, of one rank: one expert on every engine known. It takes away most of the imbalance and is in force as soon
-     * as anything can be. Three copies in 0.12 s served 2 to 15 in 100 less on sites with small experts, by 6 to 8 plays each.
+     * Time for the copies of each rank in the first map switch after a shift in demand: one expert on every known engine. This removes most of the
+     * imbalance and takes effect as early as possible. 0.12 s (three copies) served 2 to 15 in 100 fewer on sites with small experts (6 to 8 runs each).
      */
     std::chrono::milliseconds firstCopyTime{30};
-    /** Copies of the rest, to the nearest expert: a switch must be in force long before demand turns again. 0.35 s served 2 to 8 in 100 less there. */
+    /**
+     * Time for the copies of each rank in the follow-up switch, rounded to whole experts. The switch must take effect long before demand shifts again:
+     * 0.35 s served 2 to 8 in 100 fewer on the same sites.
+     */
     std::chrono::milliseconds followUpCopyTime{260};
-    double minImbalanceReduction = 0.2; ///< of the busiest rank's load over the mean; below it orders and copies cost more than the shorter passes bring
-    double followUpGapShare = 0.5; ///< of the gap target: where passes are shorter after the first switch, the rest would serve nobody better
+    double minImbalanceReduction = 0.2; ///< of the busiest rank's load over the mean load; a smaller gain is not worth the cost of orders and copies
+    double followUpGapShare = 0.5; ///< of the gap target; if passes are shorter than this after the first switch, a follow-up switch has no benefit
 
-    /** All errors are recorded; the result is only meaningful without any. */
+    /** Records every error in @p errors; the result is valid only if there are none. */
     static GatewaySettings parse(std::string_view text, const std::string &file, FileErrors &errors);
 };
 
--- a/fulmarlink/gatewaystate.cpp
+++ b/fulmarlink/gatewaystate.cpp
@@ -11,15 +11,17 @@
 namespace
 {
 
-/** Between the check of a key and the runner's start: a busy host's delay and the way to the runner. */
+/** Allows for the time between the check of a key and the start at the runner: delay on a busy host and network latency. */
 constexpr Duration kRevokeMargin = std::chrono::milliseconds(600);
 
-/** Older proofs make a host not ready: the platform needs two seconds to send callers elsewhere, and keyed requests are refused from maxKeyProofAge() on. A
- * read that is lost takes 0.95 s. */
-constexpr Duration kReadyProof = std::chrono::milliseconds(2100);
+/**
+ * Maximum age of the configuration's confirmation at which a host reports ready. The platform needs two seconds to route callers
+ * to other hosts, and requests with a key are refused from maxKeyProofAge() on. A lost read takes 0.95 s.
+ */
+constexpr Duration kMaxReadyProofAge = std::chrono::milliseconds(2100);
 
-constexpr Duration kStandstill = std::chrono::milliseconds(500); ///< longer than any pass, shorter than callers' patience
-constexpr int kStandstillPasses = 2; ///< a group with a slow rank makes passes of over a second and still moves
+constexpr Duration kMinStallTime = std::chrono::milliseconds(500); ///< longer than any pass, shorter than callers wait
+constexpr int kStallPasses = 2; ///< passes of a group with a slow rank take over a second without being stalled
 
 TargetTableOptions tableOptions(const GatewaySettings &settings)
 {
@@ -70,12 +72,12 @@
 bool GatewayState::isGroupStalled(const std::string &poolName, const std::string &group, TimePoint now)
 {
     const PoolGate &gate = pool(poolName).gate(group);
-    const TimePoint sign = gate.lastActivity();
-    if (sign == TimePoint{} || targets.ownRequests(poolName, group) == 0) {
+    const TimePoint lastActivity = gate.lastActivity();
+    if (lastActivity == TimePoint{} || targets.ownRequests(poolName, group) == 0) {
         return false;
     }
-    const Duration usual = gate.meanEventInterval(now).value_or(Duration(0)) * kStandstillPasses;
-    return now - sign > std::max(kStandstill, usual);
+    const Duration expectedInterval = gate.meanEventInterval(now).value_or(Duration(0)) * kStallPasses;
+    return now - lastActivity > std::max(kMinStallTime, expectedInterval);
 }
 
 Duration GatewayState::sharedWriteInterval() const
@@ -90,7 +92,7 @@
 
 bool GatewayState::proofIsStale(TimePoint now) const
 {
-    return config.age(now) > kReadyProof;
+    return config.age(now) > kMaxReadyProofAge;
 }
 
 bool GatewayState::keyProofValid(TimePoint now) const
--- a/fulmarlink/gatewaystate.h
+++ b/fulmarlink/gatewaystate.h
@@ -29,42 +29,42 @@
 class SignalWatch;
 class TargetConnections;
 
-/** One pool as this entry sees it. */
+/** State of one pool, as known to this host. */
 struct PoolState {
     explicit PoolState(WindowBudgetOptions options)
         : budget(options)
     {
     }
 
-    /** Of a rank group, whose ranks stall and slow down together, or of the runners in no group: an empty name. */
+    /** Gate of a rank group, whose ranks stall and slow down together; an empty name stands for the runners in no group. */
     PoolGate &gate(const std::string &group);
 
     WindowBudget budget;
     std::map<std::string, PoolGate> gates; ///< by group name
-    RetryAfterPacer retryAfterPacer; ///< of callers that were sent away since its runners want no request now
+    RetryAfterPacer retryAfterPacer; ///< spreads the return of callers that are rejected while all runners of the pool back off
     ServiceTime serviceTime;
 };
 
-/** What all requests of one entry's process share. Used by one thread. */
+/** State shared by all requests of a gateway process. Not thread-safe. */
 struct GatewayState {
-    /** Assumed until the list of entries has been read, so that an entry that has just started takes a small part of a budget. */
+    /** Number of hosts assumed until the list of entries has been read, so that a host that has just started takes a small share of each budget. */
     static constexpr unsigned kAssumedEntries = 16;
 
-    static constexpr unsigned kSharedWritesPerSecond = 100; ///< a quarter of the rate of a small store
+    static constexpr unsigned kSharedWritesPerSecond = 100; ///< by all hosts together; a quarter of the write rate of a small store
 
     GatewayState(GatewaySettings theSettings, const Clock &theClock, Counters &theCounters, const CallerProtocol &theProtocol);
 
     PoolState &pool(const std::string &name);
-    /** Requests are open at the group's runners, and none of them has moved for long. */
+    /** True if this host has requests open at the group's runners and none of them has made progress for too long. */
     bool isGroupStalled(const std::string &poolName, const std::string &group, TimePoint now);
     WindowBudgetOptions budgetOptions() const;
-    /** Between two records that this host writes for the others: all hosts together write kSharedWritesPerSecond a second at most. */
+    /** Interval between this host's writes of shared records, so that all hosts together stay within kSharedWritesPerSecond. */
     Duration sharedWriteInterval() const;
-    /** A keyed request may only run while the configuration's proof is younger than this. */
+    /** Maximum age of the configuration's last confirmation by the store at which requests with an API key may run. */
     Duration maxKeyProofAge() const;
-    /** The store has not confirmed the configuration for so long that callers should move to other entries. */
+    /** True if the store's last confirmation of the configuration is so old that callers should move to other hosts. */
     bool proofIsStale(TimePoint now) const;
-    /** True if a keyed request that is here now may still be run. */
+    /** True if a request with an API key may be run at @p now. */
     bool keyProofValid(TimePoint now) const;
 
     GatewaySettings settings;
@@ -75,23 +75,23 @@
     TargetTable targets;
     TargetConnections *connections = nullptr;
     RunnerAttempts attempts;
-    CrashHistory crashes; ///< of requests under which runners ended, as all hosts know it
+    CrashHistory crashes; ///< crashes attributed to requests, merged from all hosts
     CrashWatch *crashWatch = nullptr;
-    RunnerSignals signals; ///< what runners have said of the requests that they want
+    RunnerSignals signals; ///< limits and backoffs reported by runners
     SignalWatch *signalWatch = nullptr;
     LimitWatch *limitWatch = nullptr;
-    bool crashRecordsLoaded = false; ///< what other hosts had written before this process started has been read; no request is taken before
+    bool crashRecordsLoaded = false; ///< the crash records of other hosts have been read; no request is accepted before
     std::map<std::string, PoolState> pools;
     Random random;
-    LatencyHistogram requestDuration; ///< from the last byte of a request to the end of its answer
-    LatencyHistogram firstEventDelay; ///< of a stream, from the last byte of its request
-    LatencyHistogram eventInterval; ///< between two events of a stream
-    Counters::Id limitedSends; ///< of requests for which a runner had no room left when its connection was open
-    Counters::Id backoffSends; ///< the same, since it had asked to back off meanwhile
-    unsigned entries = kAssumedEntries; ///< entries that live and share budgets and bounds, this one included
-    std::optional<TimePoint> drainStartedAt; ///< set: the process is leaving
-    unsigned unansweredRequests = 0; ///< requests that are not answered yet
-    unsigned groupsOwned = 0; ///< rank groups whose maps this host keeps
+    LatencyHistogram requestDuration; ///< from the last byte of the request to the end of its answer
+    LatencyHistogram firstEventDelay; ///< of a stream, measured from the last byte of its request
+    LatencyHistogram eventInterval; ///< between consecutive events of a stream
+    Counters::Id limitedSends; ///< requests that were not sent on an open connection because the runner's limit was used up meanwhile
+    Counters::Id backoffSends; ///< requests that were not sent on an open connection because the runner had asked to back off meanwhile
+    unsigned entries = kAssumedEntries; ///< live hosts that share budgets and limits, including this one
+    std::optional<TimePoint> drainStartedAt; ///< set once the process is draining
+    unsigned unansweredRequests = 0; ///< requests in progress
+    unsigned groupsOwned = 0; ///< rank groups whose expert maps this host controls
 };
 
 } // namespace fulmarlink
--- a/testing/gatewaysettings_test.cpp
+++ b/testing/gatewaysettings_test.cpp
@@ -1,4 +1,4 @@
-// Checked settings of the gateway, and the template that the platform fills in.
+// Validation of the gateway's settings, and of the template that the platform fills in.
 
 #include "fulmarlink/gatewaysettings.h"
 
@@ -13,7 +13,7 @@
 namespace
 {
 
-const std::string kGood = "host: a\nzone: z\nlisten:\n  callers: \"127.0.0.1:80\"\n  readiness: \"127.0.0.1:81\"\nstore: \"10.0.0.1:8223\"\n";
+const std::string kMinimalSettings = "host: a\nzone: z\nlisten:\n  callers: \"127.0.0.1:80\"\n  readiness: \"127.0.0.1:81\"\nstore: \"10.0.0.1:8223\"\n";
 
 GatewaySettings parse(const std::string &text, FileErrors &errors)
 {
@@ -27,43 +27,44 @@
     return errors.empty() ? "" : errors.front().text();
 }
 
-std::string withText(const std::string &from, const std::string &to)
+std::string withReplacement(const std::string &from, const std::string &to)
 {
-    std::string text = kGood;
+    std::string text = kMinimalSettings;
     text.replace(text.find(from), from.size(), to);
     return text;
 }
 
 } // namespace
 
-TEST(GatewaySettings, DefaultsHoldWhereNothingIsSaid)
+TEST(GatewaySettings, MissingKeysTakeDefaults)
 {
     FileErrors errors;
-    const GatewaySettings settings = parse(kGood, errors);
+    const GatewaySettings settings = parse(kMinimalSettings, errors);
     EXPECT_TRUE(errors.empty());
     EXPECT_EQ(settings.callers.port, 80);
     EXPECT_EQ(settings.store.address, "10.0.0.1");
     EXPECT_EQ(settings.revokeBound.count(), 5000);
     EXPECT_EQ(settings.metrics.port, 0);
     EXPECT_EQ(settings.crashes.holdTime, Duration(std::chrono::minutes(5)));
-    EXPECT_EQ(parse(kGood + "crashes:\n  hold_ms: 700\n  keep_held_ms: 172800000\n", errors).crashes.holdTime, Duration(std::chrono::milliseconds(700)));
+    EXPECT_EQ(parse(kMinimalSettings + "crashes:\n  hold_ms: 700\n  keep_held_ms: 172800000\n", errors).crashes.holdTime,
+              Duration(std::chrono::milliseconds(700)));
     EXPECT_TRUE(errors.empty());
 }
 
-TEST(GatewaySettings, WrongInputIsNamedWithItsPlace)
+TEST(GatewaySettings, InvalidInputIsReportedWithItsLocation)
 {
     EXPECT_NE(firstError("zone: z\n").find("host"), std::string::npos);
-    EXPECT_NE(firstError(kGood + "extra: 1\n").find("test.yaml:7"), std::string::npos);
-    EXPECT_NE(firstError(withText("10.0.0.1:8223", "10.0.0.1")).find("an IP number and a port"), std::string::npos);
-    EXPECT_NE(firstError(withText("127.0.0.1:80", "localhost:80")).find("an IP number and a port"), std::string::npos);
-    EXPECT_NE(firstError(withText("127.0.0.1:80", "127.0.0.1:80x")).find("an IP number and a port"), std::string::npos);
-    EXPECT_NE(firstError(kGood + "bounds:\n  retry_ratio: 400\n"), "");
-    EXPECT_NE(firstError(kGood + "bounds:\n  revoke_ms: -1\n"), "");
-    EXPECT_NE(firstError(kGood + "crashes:\n  hold_ms: soon\n"), "");
-    EXPECT_NE(firstError(kGood + "crashes:\n  ban_ms: 7\n"), "");
+    EXPECT_NE(firstError(kMinimalSettings + "extra: 1\n").find("test.yaml:7"), std::string::npos);
+    EXPECT_NE(firstError(withReplacement("10.0.0.1:8223", "10.0.0.1")).find("an IP address and a port"), std::string::npos);
+    EXPECT_NE(firstError(withReplacement("127.0.0.1:80", "localhost:80")).find("an IP address and a port"), std::string::npos);
+    EXPECT_NE(firstError(withReplacement("127.0.0.1:80", "127.0.0.1:80x")).find("an IP address and a port"), std::string::npos);
+    EXPECT_NE(firstError(kMinimalSettings + "bounds:\n  retry_ratio: 400\n"), "");
+    EXPECT_NE(firstError(kMinimalSettings + "bounds:\n  revoke_ms: -1\n"), "");
+    EXPECT_NE(firstError(kMinimalSettings + "crashes:\n  hold_ms: soon\n"), "");
+    EXPECT_NE(firstError(kMinimalSettings + "crashes:\n  ban_ms: 7\n"), "");
 }
 
-TEST(GatewaySettings, ThePlatformsTemplateYieldsValidSettings)
+TEST(GatewaySettings, FilledTemplateYieldsValidSettings)
 {
     std::ifstream file(std::string(FULMARLINK_SOURCE_DIR) + "/deploy/gateway.yaml.in");
     std::ostringstream content;
@@ -104,14 +105,14 @@
     EXPECT_DOUBLE_EQ(settings.linkMbps, 1000);
 }
 
-TEST(GatewaySettings, TheLinkIsUnknownOrANumber)
+TEST(GatewaySettings, LinkSpeedIsEmptyOrANumber)
 {
     FileErrors errors;
-    EXPECT_EQ(parse(kGood, errors).linkMbps, 0);
-    EXPECT_EQ(parse(kGood + "link_mbps: \n", errors).linkMbps, 0) << "a platform that does not say it leaves the place empty";
-    EXPECT_EQ(parse(kGood + "link_mbps: 40.5\n", errors).linkMbps, 40.5);
+    EXPECT_EQ(parse(kMinimalSettings, errors).linkMbps, 0);
+    EXPECT_EQ(parse(kMinimalSettings + "link_mbps: \n", errors).linkMbps, 0) << "a platform that does not provide the value leaves it empty";
+    EXPECT_EQ(parse(kMinimalSettings + "link_mbps: 40.5\n", errors).linkMbps, 40.5);
     EXPECT_TRUE(errors.empty());
-    EXPECT_NE(firstError(kGood + "link_mbps: fast\n"), "");
+    EXPECT_NE(firstError(kMinimalSettings + "link_mbps: fast\n"), "");
 }
 
 } // namespace fulmarlink::testing
