--- a/testing/gatewayserver_test.cpp
+++ b/testing/gatewayserver_test.cpp
@@ -1,4 +1,4 @@
-// Callers' connections at the moment at which a host that is leaving closes the idle ones.
+// Requests that arrive on a caller's connection while a draining host closes its idle connections.
 
 #include "fulmarlink/gatewayserver.h"
 
@@ -32,9 +32,9 @@
         startLogging("off");
         settings.callers = {"127.0.0.1", freePort()};
         state = std::make_unique<GatewayState>(settings, clock, counters, protocol);
-        Configuration empty;
-        empty.version = 1;
-        state->config.offer(std::move(empty));
+        Configuration configuration;
+        configuration.version = 1;
+        state->config.offer(std::move(configuration));
         state->config.confirm(clock.now());
         state->crashRecordsLoaded = true;
         server = std::make_unique<GatewayServer>(context.get_executor(), *state);
@@ -48,14 +48,14 @@
         asio::write(caller, asio::buffer(text));
     }
 
-    /** Requests that were taken and denied, since no route is configured here. */
-    std::uint64_t taken() const
+    /** Number of requests accepted; each is denied or ends with its caller gone, since no route is configured. */
+    std::uint64_t acceptedRequests() const
     {
         return counters.result(ResultCode::NoRuleMatched) + counters.result(ResultCode::CallerGone);
     }
 
-    /** Answers that have come to the caller since the last call. */
-    unsigned answers()
+    /** Number of answers received by the caller since the last call. */
+    unsigned receivedAnswers()
     {
         std::array<char, 8192> bytes{};
         boost::system::error_code error;
@@ -83,17 +83,18 @@
 
 } // namespace
 
-// The load: a host that leaves closes its idle connections while callers go on using them.
-TEST_F(GatewayServerTest, ARequestThatCrossesTheCloseOfItsConnectionIsAnsweredOrNotTaken)
+// A draining host closes idle connections while callers go on using them. Guards against a request that is accepted
+// just as its connection is closed, so that its answer is lost.
+TEST_F(GatewayServerTest, RequestDuringIdleCloseIsAnsweredOrNotAccepted)
 {
-    constexpr unsigned kSteps = 8; // of the event loop; some lie between the read of the bytes and what follows
+    constexpr unsigned kSteps = 8; // of the event loop; some fall between the read of the bytes and the code that handles them
     for (unsigned steps = 0; steps < kSteps; ++steps) {
         caller = tcp::socket(callerContext);
         caller.connect({asio::ip::make_address("127.0.0.1"), settings.callers.port});
         send("first");
         context.run_for(50ms);
-        const std::uint64_t before = taken();
-        ASSERT_EQ(answers(), 1U);
+        const std::uint64_t before = acceptedRequests();
+        ASSERT_EQ(receivedAnswers(), 1U);
         send("second");
         context.restart();
         for (unsigned step = 0; step < steps; ++step) {
@@ -101,19 +102,19 @@
         }
         server->closeIdle();
         context.run_for(50ms);
-        EXPECT_EQ(taken() - before, answers()) << "closed after " << steps << " steps";
+        EXPECT_EQ(acceptedRequests() - before, receivedAnswers()) << "closed after " << steps << " steps";
     }
 }
 
-TEST_F(GatewayServerTest, ARequestThatHasArrivedKeepsItsConnectionOpen)
+TEST_F(GatewayServerTest, CloseIdleKeepsConnectionWithUnreadRequest)
 {
     send("first");
     context.run_for(100ms);
-    ASSERT_EQ(taken(), 1U);
+    ASSERT_EQ(acceptedRequests(), 1U);
     send("second");
     server->closeIdle();
     context.run_for(100ms);
-    EXPECT_EQ(taken(), 2U);
+    EXPECT_EQ(acceptedRequests(), 2U);
 }
 
 } // namespace fulmarlink::testing
--- a/testing/harness/gatewayfixture.h
+++ b/testing/harness/gatewayfixture.h
@@ -40,7 +40,7 @@
 "services":[{"name":"plain","max_conns":100}],
 "tenants":[{"name":"customer","api_keys":["key","second"]}]})";
 
-/** A gateway over real sockets between a caller, a stand-in of the platform's store and two runners of one pool. */
+/** A gateway with real sockets, a caller, a fake store of the platform and two fake runners of one pool. */
 class GatewayTest : public ::testing::Test
 {
 public:
@@ -121,7 +121,7 @@
         return *answer;
     }
 
-    /** Both runners do the same with every request. */
+    /** Makes both runners treat every request as @p act says. */
     void setActForBoth(RunnerAct act)
     {
         for (PlatformRunner *runner : {&a, &b}) {
@@ -131,7 +131,7 @@
         }
     }
 
-    /** The first request at any runner is treated so, the others are answered. */
+    /** Makes the runners treat the first request that reaches either of them as @p act says, and answer all others. */
     void setActForFirstRequest(RunnerAct act)
     {
         auto used = std::make_shared<bool>(false);
@@ -142,7 +142,7 @@
         }
     }
 
-    /** The runners report that they are the only ranks of these groups; an empty name: of none. */
+    /** Makes each runner report that it is the only rank of the named group; an empty name: of no group. */
     void reportGroups(const std::string &groupOfA, const std::string &groupOfB)
     {
         const auto join = [](PlatformRunner &runner, const std::string &group) {
@@ -152,9 +152,9 @@
         };
         join(a, groupOfA);
         join(b, groupOfB);
-        json::value grouped = json::parse(kConfiguration);
-        grouped.at("services").at(0).as_object()["engine"] = json::object{{"slots", 4}, {"sets", 1}, {"experts", 4}, {"placements", 2}};
-        store.set("config", "main", grouped);
+        json::value withEngine = json::parse(kConfiguration);
+        withEngine.at("services").at(0).as_object()["engine"] = json::object{{"slots", 4}, {"sets", 1}, {"experts", 4}, {"placements", 2}};
+        store.set("config", "main", withEngine);
     }
 
     std::size_t ranRequests() const
--- a/testing/harness/gatewayfleet.cpp
+++ b/testing/harness/gatewayfleet.cpp
@@ -30,9 +30,8 @@
 constexpr unsigned kSlots = 8;
 constexpr auto kReadyLimit = 6s;
 constexpr auto kAnswerLimit = 8s;
-constexpr const char *kGatewayHeader = "X-Gateway"; ///< of a request: the gateway that its caller chose
+constexpr const char *kGatewayHeader = "X-Gateway"; ///< request header: the gateway that the request is sent to
 
-/** A wide retry budget: it must not be what keeps a request from runners here. */
 json::value configuration(const GatewayFleetOptions &options)
 {
     json::value result = json::parse(R"({"version":3,
@@ -55,7 +54,7 @@
     : store(context)
     , m_options(options)
     , m_up(options.runners, true)
-    , m_killer(options.runners)
+    , m_crashingPath(options.runners)
     , m_hosts(options.gateways)
     , m_arrivalsAt(options.runners)
     , m_requestsAt(options.runners)
@@ -70,17 +69,17 @@
         runner.work = options.workTime;
         runner.lossy = options.silentCrash;
         runner.act = [this, i](const HttpRequest &request) {
-            return choose(i, request);
+            return chooseAct(i, request);
         };
         runner.crashed = [this, i] {
-            m_crashes[m_killer[i]].push_back(std::chrono::steady_clock::now());
-            ended(i);
+            m_crashes[m_crashingPath[i]].push_back(std::chrono::steady_clock::now());
+            scheduleRestart(i);
         };
         if (options.group) {
             runner.report["group"] = json::object{{"name", "g"}, {"epoch", 1}, {"rank", i}, {"size", options.runners}, {"state", "open"}};
         }
         m_addresses.push_back(runner.listen(freePort()));
-        list(i);
+        listRunner(i);
     }
     for (unsigned i = 0; i < options.gateways; ++i) {
         storeProxies.push_back(std::make_unique<LoopbackProxy>(context, address));
@@ -91,17 +90,17 @@
         settings.readiness = {"127.0.0.1", freePort()};
         settings.store = storeProxies.back()->listen();
         settings.leavingBound = 500ms;
-        settings.retrySlack = 10'000;
+        settings.retrySlack = 10'000; // so that the retry budget never keeps a request from the runners
         settings.crashes.holdTime = options.holdTime;
     }
 }
 
 GatewayFleet::~GatewayFleet() = default;
 
-void GatewayFleet::list(unsigned runner)
+void GatewayFleet::listRunner(unsigned runner)
 {
     json::object entry = standins::runnerEntry("plain", m_addresses[runner], kSlots);
-    entry["born"] = m_born + ++m_lives;
+    entry["born"] = m_firstStartTime + ++m_incarnations;
     store.set("servers", m_runners[runner]->id(), entry);
 }
 
@@ -111,12 +110,12 @@
     m_runners[index]->retryAfter = retryAfter;
 }
 
-/** Notes the arrival, and whether the runner turns it away. */
-bool GatewayFleet::refuses(unsigned runner, const HttpRequest &request)
+/** Records the arrival. Returns true if the runner refuses the request. */
+bool GatewayFleet::recordArrival(unsigned runner, const HttpRequest &request)
 {
     const std::string gateway(request[kGatewayHeader]);
     if (gateway.empty()) {
-        return false; // an order or a reading of counts
+        return false; // an order or a read of counts
     }
     const Time now = std::chrono::steady_clock::now();
     FleetArrival arrival{static_cast<unsigned>(std::stoul(gateway)), now, {}};
@@ -129,17 +128,17 @@
     return refused;
 }
 
-RunnerAct GatewayFleet::choose(unsigned runner, const HttpRequest &request)
+RunnerAct GatewayFleet::chooseAct(unsigned runner, const HttpRequest &request)
 {
     const std::string path(request.target());
     m_arrivals[path].push_back(std::chrono::steady_clock::now());
-    if (!request["Attempt-Id"].empty()) { // orders and readings of counts are no requests
+    if (!request["Attempt-Id"].empty()) { // orders and reads of counts are not requests
         m_arrivalsAt[runner].push_back(std::chrono::steady_clock::now());
     }
-    if (refuses(runner, request)) {
+    if (recordArrival(runner, request)) {
         return RunnerAct::Refuse;
     }
-    const bool firstTry = m_reset.insert(std::string(request["Attempt-Id"])).second;
+    const bool firstTry = m_seenAttempts.insert(std::string(request["Attempt-Id"])).second;
     if (path.find("reset") != std::string::npos && firstTry) {
         return RunnerAct::ResetUnanswered;
     }
@@ -149,38 +148,38 @@
     if (path.find("crash") == std::string::npos) {
         return RunnerAct::Answer;
     }
-    m_killer[runner] = path;
+    m_crashingPath[runner] = path;
     return RunnerAct::Crash;
 }
 
 void GatewayFleet::crashRunner(unsigned index)
 {
     m_runners[index]->end();
-    ended(index);
+    scheduleRestart(index);
 }
 
-void GatewayFleet::ended(unsigned runner)
+void GatewayFleet::scheduleRestart(unsigned runner)
 {
     m_up[runner] = false;
-    asio::co_spawn(context, comeBack(runner), asio::detached);
+    asio::co_spawn(context, restartRunner(runner), asio::detached);
 }
 
-asio::awaitable<void> GatewayFleet::comeBack(unsigned runner)
+asio::awaitable<void> GatewayFleet::restartRunner(unsigned runner)
 {
     boost::system::error_code ignored; // the timers are not cancelled
-    const std::string before = m_runners[runner]->id();
+    const std::string previousId = m_runners[runner]->id();
     asio::steady_timer timer(context, m_options.restartDelay);
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     if (!m_options.sameId) {
-        m_runners[runner]->setId(before + "x");
+        m_runners[runner]->setId(previousId + "x");
     }
     m_addresses[runner] = m_runners[runner]->listen(freePort());
     m_up[runner] = true;
-    list(runner);
+    listRunner(runner);
     if (!m_options.sameId) {
         timer.expires_after(std::max(m_options.entryExpiry - m_options.restartDelay, 0ms));
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-        store.remove("servers", before);
+        store.remove("servers", previousId);
     }
 }
 
@@ -256,7 +255,7 @@
     return *answer;
 }
 
-/** One turn of every context. */
+/** Polls every event loop once. */
 void GatewayFleet::poll()
 {
     context.run_for(1ms);
--- a/testing/harness/gatewayfleet.h
+++ b/testing/harness/gatewayfleet.h
@@ -21,30 +21,31 @@
 struct GatewayFleetOptions {
     unsigned gateways = 5;
     unsigned runners = 6;
-    bool sameId = true; ///< a runner that starts again has the id that it had
+    bool sameId = true; ///< a restarted runner keeps its id
     bool group = false; ///< the runners are the ranks of one group
-    std::chrono::milliseconds restartDelay{350}; ///< from a runner's end to its next start
-    std::chrono::milliseconds entryExpiry{700}; ///< from a runner's end until its entry goes, if it has not started again
-    std::chrono::milliseconds holdTime{300'000}; ///< as in the gateways' settings
-    bool silentCrash = false; ///< of a runner that ends, callers hear on the connection of the request that ended it alone
-    unsigned maxConnections = 1000; ///< that a runner takes from all hosts together, as the configuration says
-    std::chrono::milliseconds workTime{3}; ///< of a runner before an answer, and between events
+    std::chrono::milliseconds restartDelay{350}; ///< from a runner's crash to its restart
+    std::chrono::milliseconds entryExpiry{700}; ///< from a runner's crash to the removal of its entry, if it restarts with a new id
+    std::chrono::milliseconds holdTime{300'000}; ///< CrashPolicy::holdTime of the gateways
+    bool silentCrash = false; ///< when a runner crashes, only the connection of the request that crashed it is closed
+    unsigned maxConnections = 1000; ///< configured limit of a runner's connections from all hosts together
+    std::chrono::milliseconds workTime{3}; ///< time that a runner takes before an answer and between events
 };
 
-/** A request that reached a runner, run or not. */
+/** A request that reached a runner, whether it ran or not. */
 struct FleetArrival {
     unsigned gateway = 0;
     std::chrono::steady_clock::time_point at;
-    std::chrono::steady_clock::time_point backoffUntil; ///< the runner turned it away and wants nothing from that gateway until then; the epoch: it did not
+    std::chrono::steady_clock::time_point backoffUntil; ///< end of the backoff named in the runner's refusal; the epoch if it did not ask for one
 };
 
 /**
- * Several gateways before one pool, whose runners may name a limit in their answers, or end
- * when they begin certain requests and start again after a while. The store and the runners
- * are stand-ins; each gateway reaches the store through a proxy of its own. For one thread.
+ * Several gateways in front of one pool, whose runners may report a rate limit in their answers, or
+ * crash when they start certain requests and restart later. The store and the runners are fakes; each
+ * gateway reaches the store through its own proxy. Not thread-safe.
  *
- * A request whose path contains "crash" ends each runner that begins it; "reset" has the connection of its first try reset, and "cut" its first
- * stream cut off. What the runners saw is counted here, apart from what the gateways say of themselves.
+ * A request whose path contains "crash" crashes each runner that starts it. With "reset" in the path the connection of its
+ * first attempt is reset, and with "cut" its first stream is cut off. What reaches the runners is counted here, independently
+ * of the gateways' own counters.
  */
 class GatewayFleet
 {
@@ -54,18 +55,18 @@
     explicit GatewayFleet(GatewayFleetOptions options);
     ~GatewayFleet();
 
-    /** False if the gateways are not ready in time. */
+    /** Starts all gateways. Returns false if they are not ready in time. */
     bool start();
     void startGateway(unsigned index);
-    /** As if its host had lost power: nothing is said to anybody. */
+    /** Stops a gateway without any notice to callers, runners or the store, as a power failure of its host does. */
     void killGateway(unsigned index);
 
     bool ready(unsigned gateway) const;
 
     HttpRequest request(const std::string &path, const std::string &body = "text", const std::string &key = "key");
-    /** Sends without waiting. */
+    /** Sends a request without waiting; @p done is set at the end of the answer. */
     std::shared_ptr<Answer> send(unsigned gateway, HttpRequest message, std::shared_ptr<bool> done = std::make_shared<bool>(false));
-    /** Sends and waits for the end of the answer. */
+    /** Sends a request and waits for the end of the answer. */
     Answer ask(unsigned gateway, HttpRequest message);
     void runFor(std::chrono::milliseconds time);
     template<typename Condition>
@@ -77,28 +78,29 @@
         }
         return condition();
     }
-    /** Until so many runners take requests. */
+    /** Runs until at least @p runners runners are up. Returns false on timeout. */
     bool runUntilRunning(unsigned runners);
-    /** Ends a runner for a cause of its own. */
+    /** Crashes a runner for a reason unrelated to any request. */
     void crashRunner(unsigned index);
 
     standins::PlatformRunner &runner(unsigned index);
-    /** From now on the runner turns away @p share of its requests, and names @p retryAfter seconds; "": it names none. */
+    /** Makes the runner refuse @p share of its requests from now on, with a Retry-After of @p retryAfter seconds; "": without one. */
     void setRefusals(unsigned index, double share, const std::string &retryAfter);
-    /** Requests that reached a runner, the earliest first. */
+    /** Requests that reached a runner, in order of arrival. */
     const std::vector<FleetArrival> &requestsAt(unsigned runner) const;
-    /** When requests reached a runner, run or not, the earliest first. */
+    /** Times at which requests reached a runner, whether they ran or not, in order. */
     const std::vector<Time> &arrivalTimesAt(unsigned runner) const;
 
     unsigned runningRunners() const;
-    /** Runners that requests of @p path have ended. */
+    /** Number of runner crashes caused by requests to @p path. */
     std::size_t crashCount(const std::string &path) const;
-    /** Times at which requests of @p path reached a runner, run or not, later than @p after. */
+    /** Number of requests to @p path that reached a runner after @p after, whether they ran or not. */
     std::size_t arrivalCount(const std::string &path, Time after = {}) const;
-    /** When the @p number-th runner, from 1, ended under @p path. */
+    /** Time of the @p number-th crash, from 1, caused by @p path. */
     Time crashTime(const std::string &path, std::size_t number) const;
-    /** Whether a runner began the attempt. */
+    /** True if a runner started the attempt. */
     bool attemptRan(const std::string &attemptId) const;
+    /** Sum of the counter over all gateways. */
     std::uint64_t counterSum(const std::string &counter) const;
 
     boost::asio::io_context context{1};
@@ -109,15 +111,15 @@
     struct Host {
         GatewaySettings settings;
         std::unique_ptr<Counters> counters;
-        std::unique_ptr<boost::asio::io_context> context; ///< of its own, so that it can be killed
+        std::unique_ptr<boost::asio::io_context> context; ///< separate, so that the gateway can be killed
         std::unique_ptr<Gateway> gateway;
     };
 
-    void list(unsigned runner);
-    void ended(unsigned runner);
-    boost::asio::awaitable<void> comeBack(unsigned runner);
-    standins::RunnerAct choose(unsigned runner, const HttpRequest &request);
-    bool refuses(unsigned runner, const HttpRequest &request);
+    void listRunner(unsigned runner);
+    void scheduleRestart(unsigned runner);
+    boost::asio::awaitable<void> restartRunner(unsigned runner);
+    standins::RunnerAct chooseAct(unsigned runner, const HttpRequest &request);
+    bool recordArrival(unsigned runner, const HttpRequest &request);
     void poll();
 
     const GatewayFleetOptions m_options;
@@ -125,7 +127,7 @@
     std::vector<std::unique_ptr<standins::PlatformRunner>> m_runners;
     std::vector<HttpTarget> m_addresses;
     std::vector<bool> m_up;
-    std::vector<std::string> m_killer; ///< by runner: the path that it began last and that ends it
+    std::vector<std::string> m_crashingPath; ///< by runner: the path of the request that crashes it
     std::vector<Host> m_hosts;
     std::map<std::string, std::vector<Time>> m_arrivals; ///< by path
     std::vector<std::vector<Time>> m_arrivalsAt; ///< by runner
@@ -133,9 +135,9 @@
     std::vector<double> m_refusedShare; ///< by runner
     std::mt19937 m_random{1};
     std::map<std::string, std::vector<Time>> m_crashes; ///< by path
-    std::set<std::string> m_reset; ///< attempts that a runner has seen
-    std::uint64_t m_born = 1'790'000'000'000;
-    unsigned m_lives = 0;
+    std::set<std::string> m_seenAttempts; ///< ids of attempts that have reached a runner
+    std::uint64_t m_firstStartTime = 1'790'000'000'000;
+    unsigned m_incarnations = 0;
     unsigned m_attempts = 0;
 };
 
