--- a/fulmarlink/gatewaysettings.h
+++ b/fulmarlink/gatewaysettings.h
@@ -32,13 +32,13 @@
     double retryRatio = 0.2; ///< retries allowed per request in the window, over all entry hosts
     double retrySlack = 90; ///< retries allowed in addition to retryRatio, in the window over all entry hosts
     CrashPolicy crashes; ///< when and for how long a request that crashed runners is held back
-    double linkMbps = 0; ///< link speed of this host; 0: unknown. Hosts with faster links are preferred as controllers of a rank group
+    double linkMbps = 0; ///< link speed of this host; 0: unknown. Hosts with faster links are preferred as leaders of a rank group
     double skewWeight = 1; ///< weight of the gain from shorter passes
     double costWeight = 1; ///< weight of the cost of moving experts, relative to skewWeight
     /**
      * Number of ranks per group whose expert counts are read to estimate demand. Requests spread evenly over the ranks, so two are representative.
-     * Reading 5 cost 0.02 to 0.03 more of the score, partly because passes stop while counts are read, and served no request better (20 to 30 runs, four
-     * sites).
+     * Reading 5 cost another 0.02 to 0.03 of the score, partly because passes stop while counts are read, and served no request better in 20 to 30 runs on
+     * four sites.
      */
     unsigned sampledRanks = 2;
     /**
--- a/fulmarlink/gatewaystate.h
+++ b/fulmarlink/gatewaystate.h
@@ -91,7 +91,7 @@
     unsigned entries = kAssumedEntries; ///< live hosts that share budgets and limits, including this one
     std::optional<TimePoint> drainStartedAt; ///< set once the process is draining
     unsigned unansweredRequests = 0; ///< requests in progress
-    unsigned groupsOwned = 0; ///< rank groups whose expert maps this host controls
+    unsigned groupsOwned = 0; ///< rank groups that this host leads
 };
 
 } // namespace fulmarlink
