--- a/fulmarlink/callerprotocol.h
+++ b/fulmarlink/callerprotocol.h
@@ -44,7 +44,7 @@
     static constexpr Duration kMaxBackoff = std::chrono::hours(24);
 
     std::string attemptId; ///< echoed; empty: none
-    bool sealed = false; ///< the runner vouches for the answer
+    bool isSigned = false; ///< the runner vouches for the answer
     bool notRun = false; ///< the runner proves that it did not run the request
     std::optional<TargetLoad> load;
     std::optional<std::chrono::seconds> keepAlive; ///< how long the runner keeps an idle connection
--- a/fulmarlink/crashwatch.cpp
+++ b/fulmarlink/crashwatch.cpp
@@ -128,7 +128,7 @@
             continue;
         }
         revision = read.revision;
-        const bool unchanged = read.crashes.empty() && read.limits.empty() && read.limitsEnded.empty();
+        const bool unchanged = read.crashes.empty() && read.limits.empty() && read.removedLimits.empty();
         apply(std::move(read));
         if (unchanged && m_state.clock.now() - began < kStoreRetry) { // the store does not hold answers back: wait, to avoid polling it in a tight loop
             co_await sleep(retryDelay());
--- a/fulmarlink/eventsplitter.cpp
+++ b/fulmarlink/eventsplitter.cpp
@@ -23,7 +23,7 @@
     }
 }
 
-std::string EventSplitter::takeWhole()
+std::string EventSplitter::takeCompleteEvents()
 {
     if (mutated(Mutation::GiveHalfEvents)) {
         m_whole = m_held.size();
--- a/fulmarlink/eventsplitter.h
+++ b/fulmarlink/eventsplitter.h
@@ -11,7 +11,7 @@
 /**
  * Cuts a stream of server-sent events into whole events.
  *
- * How to use: push() the bytes as they come; takeWhole() gives all events that are
+ * How to use: push() the bytes as they come; takeCompleteEvents() gives all events that are
  * complete, with their closing blank lines; partial() tells whether bytes of an
  * unfinished event are held. After a break begin again with reset().
  *
@@ -26,7 +26,7 @@
 
     void push(std::string_view bytes);
     /** The whole events held; empty if there are none. */
-    std::string takeWhole();
+    std::string takeCompleteEvents();
     bool partial() const;
     bool tooLong() const;
     /** The last whole event's id; empty before the first. */
--- a/fulmarlink/gateway.cpp
+++ b/fulmarlink/gateway.cpp
@@ -77,7 +77,7 @@
     m_state.crashWatch = &m_crashWatch;
     m_state.limitWatch = &m_limitWatch;
     m_state.signalWatch = &m_signalWatch;
-    m_adapters.platform->setRunnerListener(&m_signalWatch);
+    m_adapters.platform->setAnswerObserver(&m_signalWatch);
 }
 
 Gateway::~Gateway() = default;
--- a/fulmarlink/gatewayrelay.cpp
+++ b/fulmarlink/gatewayrelay.cpp
@@ -175,7 +175,7 @@
             }
             co_return AttemptEnd::Refused;
         }
-        if (answer.attemptId.empty() || (head.result_int() < 300 && !answer.sealed)) {
+        if (answer.attemptId.empty() || (head.result_int() < 300 && !answer.isSigned)) {
             m_reason = "invalid";
             m_state.targets.requestFailed(target.id, now);
             co_return AttemptEnd::Broken;
@@ -243,7 +243,7 @@
             error = {};
         }
         m_events.push({bytes.data(), bytes.size() - piece.size});
-        const std::string whole = m_events.takeWhole();
+        const std::string whole = m_events.takeCompleteEvents();
         if (!whole.empty() && !m_callerGone) {
             recordEvents(m_state.clock.now());
             bool written = co_await writeStreamHead(parser);
--- a/fulmarlink/guardedplatform.cpp
+++ b/fulmarlink/guardedplatform.cpp
@@ -114,14 +114,14 @@
     return guarded(m_platform->writeLimitRecord(std::move(record)), "write-limit-record");
 }
 
-asio::awaitable<std::error_code> GuardedPlatform::removeLimitRecord(TargetIncarnation life)
+asio::awaitable<std::error_code> GuardedPlatform::removeLimitRecord(TargetIncarnation incarnation)
 {
-    return guarded(m_platform->removeLimitRecord(std::move(life)), "remove-limit-record");
+    return guarded(m_platform->removeLimitRecord(std::move(incarnation)), "remove-limit-record");
 }
 
-void GuardedPlatform::setRunnerListener(RunnerAnswerObserver *listener)
+void GuardedPlatform::setAnswerObserver(RunnerAnswerObserver *observer)
 {
-    m_platform->setRunnerListener(listener);
+    m_platform->setAnswerObserver(observer);
 }
 
 asio::awaitable<RankReportRead> GuardedPlatform::readRankReport(TargetInfo target)
--- a/fulmarlink/guardedplatform.h
+++ b/fulmarlink/guardedplatform.h
@@ -34,8 +34,8 @@
     boost::asio::awaitable<std::error_code> writeCrashRecord(CrashRecord record) override;
     boost::asio::awaitable<std::error_code> removeCrashRecord(std::string name) override;
     boost::asio::awaitable<std::error_code> writeLimitRecord(LimitRecord record) override;
-    boost::asio::awaitable<std::error_code> removeLimitRecord(TargetIncarnation life) override;
-    void setRunnerListener(RunnerAnswerObserver *listener) override;
+    boost::asio::awaitable<std::error_code> removeLimitRecord(TargetIncarnation incarnation) override;
+    void setAnswerObserver(RunnerAnswerObserver *observer) override;
     boost::asio::awaitable<RankReportRead> readRankReport(TargetInfo target) override;
     boost::asio::awaitable<ExpertCountsRead> readExpertCounts(TargetInfo target, unsigned layerSets) override;
     boost::asio::awaitable<RankPlacementRead> readRankPlacement(TargetInfo target) override;
--- a/fulmarlink/limitwatch.cpp
+++ b/fulmarlink/limitwatch.cpp
@@ -52,7 +52,7 @@
         reportMalformed(incarnation, answer.malformedLimit);
         return;
     }
-    const bool authoritative = answer.speaksForTarget && (answer.requestLimit || (answer.sealed && !answer.attemptId.empty()));
+    const bool authoritative = answer.speaksForTarget && (answer.requestLimit || (answer.isSigned && !answer.attemptId.empty()));
     if (!authoritative) {
         return;
     }
@@ -80,10 +80,10 @@
         const RunnerLimit before = current == nullptr ? RunnerLimit{} : *current;
         applyChange(record.incarnation, m_state.signals.limits.applyRecord(record.incarnation, record.perSecond, record.host, m_state.clock.now()), before);
     }
-    for (const TargetIncarnation &incarnation : read.limitsEnded) {
+    for (const TargetIncarnation &incarnation : read.removedLimits) {
         handleRemovedRecord(incarnation);
     }
-    if (!read.whole) {
+    if (!read.complete) {
         return;
     }
     const std::map<TargetIncarnation, double> stored = m_storedLimits;
--- a/fulmarlink/platform.h
+++ b/fulmarlink/platform.h
@@ -56,10 +56,10 @@
 struct SharedRecordsRead {
     std::error_code error; ///< StoreHistoryGone: read all of them anew
     std::uint64_t revision = 0; ///< to go on from
-    bool whole = false; ///< all records that there are; false: those that have changed
+    bool complete = false; ///< all records that there are; false: those that have changed
     std::vector<CrashRecord> crashes; ///< those that could not be understood are left out, here and below
     std::vector<LimitRecord> limits;
-    std::vector<TargetIncarnation> limitsEnded; ///< whose record has been removed
+    std::vector<TargetIncarnation> removedLimits; ///< whose record has been removed
 };
 
 /**
@@ -94,12 +94,12 @@
     /** VersionConflict: a record of that name is there already. */
     virtual boost::asio::awaitable<std::error_code> writeCrashRecord(CrashRecord record) = 0;
     virtual boost::asio::awaitable<std::error_code> removeCrashRecord(std::string name) = 0;
-    /** Takes the place of the record of the same life, if there is one. */
+    /** Takes the place of the record of the same incarnation, if there is one. */
     virtual boost::asio::awaitable<std::error_code> writeLimitRecord(LimitRecord record) = 0;
-    virtual boost::asio::awaitable<std::error_code> removeLimitRecord(TargetIncarnation life) = 0;
+    virtual boost::asio::awaitable<std::error_code> removeLimitRecord(TargetIncarnation incarnation) = 0;
 
     /** Told of the head of each answer of a runner to the calls below; outlives this, null: nobody. */
-    virtual void setRunnerListener(RunnerAnswerObserver *listener) = 0;
+    virtual void setAnswerObserver(RunnerAnswerObserver *observer) = 0;
     virtual boost::asio::awaitable<RankReportRead> readRankReport(TargetInfo target) = 0;
     virtual boost::asio::awaitable<ExpertCountsRead> readExpertCounts(TargetInfo target, unsigned layerSets) = 0;
     virtual boost::asio::awaitable<RankPlacementRead> readRankPlacement(TargetInfo target) = 0;
--- a/testing/eventsplitter_test.cpp
+++ b/testing/eventsplitter_test.cpp
@@ -30,7 +30,7 @@
             const std::size_t piece = *rc::gen::inRange<std::size_t>(1, 20);
             splitter.push(std::string_view(text).substr(done, piece));
             done += piece;
-            given += splitter.takeWhole();
+            given += splitter.takeCompleteEvents();
         }
         RC_ASSERT(given == whole);
         RC_ASSERT(splitter.events() == static_cast<std::uint64_t>(events));
@@ -43,10 +43,10 @@
 {
     EventSplitter splitter;
     splitter.push("id: 1\ndata: a\n\nid: 2\nda");
-    EXPECT_EQ(splitter.takeWhole(), "id: 1\ndata: a\n\n");
+    EXPECT_EQ(splitter.takeCompleteEvents(), "id: 1\ndata: a\n\n");
     splitter.reset();
     splitter.push("id: 2\ndata: b\n\n");
-    EXPECT_EQ(splitter.takeWhole(), "id: 2\ndata: b\n\n");
+    EXPECT_EQ(splitter.takeCompleteEvents(), "id: 2\ndata: b\n\n");
     EXPECT_EQ(splitter.lastId(), "2");
 }
 
--- a/testing/faultisolation_test.cpp
+++ b/testing/faultisolation_test.cpp
@@ -135,9 +135,9 @@
         return m_delegate->removeLimitRecord(std::move(incarnation));
     }
 
-    void setRunnerListener(RunnerAnswerObserver *listener) override
+    void setAnswerObserver(RunnerAnswerObserver *observer) override
     {
-        m_delegate->setRunnerListener(listener);
+        m_delegate->setAnswerObserver(observer);
     }
 
     asio::awaitable<RankReportRead> readRankReport(TargetInfo target) override
--- a/testing/gatewaymutation_test.cpp
+++ b/testing/gatewaymutation_test.cpp
@@ -99,7 +99,7 @@
 {
     EventSplitter splitter;
     splitter.push("id: 1\nda");
-    return splitter.takeWhole().empty();
+    return splitter.takeCompleteEvents().empty();
 }
 
 bool lapsedLeaseStartsNewTerm()
--- a/testing/harness/fakegroup.h
+++ b/testing/harness/fakegroup.h
@@ -52,7 +52,7 @@
     boost::asio::awaitable<std::error_code> removeCrashRecord(std::string name) override;
     boost::asio::awaitable<std::error_code> writeLimitRecord(LimitRecord record) override;
     boost::asio::awaitable<std::error_code> removeLimitRecord(TargetIncarnation incarnation) override;
-    void setRunnerListener(RunnerAnswerObserver * /*its ranks send no runner answers*/) override
+    void setAnswerObserver(RunnerAnswerObserver * /*its ranks send no runner answers*/) override
     {
     }
     boost::asio::awaitable<RankReportRead> readRankReport(TargetInfo target) override;
