--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -36,7 +36,7 @@
 constexpr std::size_t kPrefixBytes = 256;
 constexpr std::size_t kBytesPerToken = 4;
 constexpr std::chrono::microseconds kStallStep{5000};
-constexpr unsigned kCachedShare = 10; ///< a cached prompt's prefill takes a tenth
+constexpr unsigned kCachedShare = 10; ///< divisor: prefill of a cached prompt takes a tenth of the time
 
 std::uint64_t numberOf(beast::string_view text, std::uint64_t fallback)
 {
--- a/standins/engine.h
+++ b/standins/engine.h
@@ -17,18 +17,18 @@
 namespace fulmarlink::standins
 {
 
-/** Times and limits of an engine stand-in. */
+/** Simulated latencies and limits of an Engine. */
 struct EngineOptions {
     std::string name;
-    unsigned batch = 8; ///< requests that run at once; more get 503
+    unsigned batch = 8; ///< maximum concurrent requests; further ones get 503
     std::chrono::microseconds prefillPerToken{20};
-    std::chrono::microseconds step{2000}; ///< between tokens
-    std::chrono::microseconds stepPerRequest{200}; ///< added for each request in the batch
-    std::size_t prefixes = 64; ///< prompts whose prefix stays cached
-    bool checksFencing = true; ///< refuses orders with an older fencing number
+    std::chrono::microseconds step{2000}; ///< time between two tokens
+    std::chrono::microseconds stepPerRequest{200}; ///< added to step for each running request
+    std::size_t prefixes = 64; ///< capacity of the prefix cache (LRU), in prompts
+    bool checksFencing = true; ///< rejects orders whose fencing number is lower than the highest one received
 };
 
-/** One request that reached the engine, by the serial number that its caller gave it. */
+/** One request that the engine began to run, identified by the serial number that its caller set. */
 struct EngineLedgerLine {
     std::string serial;
     std::string runner;
@@ -36,12 +36,12 @@
 };
 
 /**
- * Stands in for a model engine, and for a plain service, over HTTP/1.1:
- * POST /v1/generate streams as many tokens as X-Tokens says as server-sent events;
- * any other path answers once, echoing the caller's serial number (X-Serial);
- * POST /v1/orders takes orders with a fencing number (Fencing-Number).
+ * Fake model engine and plain service over HTTP/1.1:
+ * POST /v1/generate streams the number of tokens given in X-Tokens as server-sent events;
+ * POST /v1/orders accepts orders with a fencing number (Fencing-Number);
+ * any other path returns a single response that echoes the caller's serial number (X-Serial).
  *
- * It keeps a ledger of every request that it began to run.
+ * Records every request that it began to run in a ledger.
  */
 class Engine : public std::enable_shared_from_this<Engine>
 {
@@ -49,13 +49,13 @@
     Engine(boost::asio::any_io_executor executor, EngineOptions options);
 
     std::uint16_t listen(const std::string &address, std::uint16_t port);
-    /** Stops accepting and breaks every connection, as a crash would. */
+    /** Simulates a crash: stops accepting and closes every connection. */
     void kill();
-    /** Answers every request with 503 before running it. */
+    /** While set, rejects every request but orders with 503 without running it. */
     void setRefusing(bool refusing);
-    /** Breaks each answer off after @p tokens tokens; 0 switches it off. */
+    /** Closes the connection of each generated response after @p tokens tokens; 0 disables this. */
     void setBreakAfter(unsigned tokens);
-    /** Stalls: nothing advances while set. */
+    /** While set, running requests make no progress. */
     void setStalled(bool stalled);
 
     std::vector<EngineLedgerLine> ledger() const;
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -22,15 +22,15 @@
     unsigned serviceRunners = 3;
     std::string rules; ///< empty: defaultRules()
     std::string picker = "affinity";
-    std::string entrySettings; ///< more lines for the part 'entry', each with two spaces before it
-    std::chrono::microseconds engineStep{2000}; ///< between tokens
-    boost::asio::io_context *entryContext = nullptr; ///< where the entries run; null: with all else
-    boost::asio::io_context *agentContext = nullptr; ///< where the agents run; null: with all else
+    std::string entrySettings; ///< additional lines of the section 'entry', each indented by two spaces
+    std::chrono::microseconds engineStep{2000}; ///< EngineOptions::step of all engines
+    boost::asio::io_context *entryContext = nullptr; ///< io_context of the entries; null: the fleet's own
+    boost::asio::io_context *agentContext = nullptr; ///< io_context of the agents; null: the fleet's own
 };
 
 /**
- * A whole deployment in one process on loopback: the object API and host list, entry
- * hosts, agents and engines, each of ours as its real process class.
+ * A complete deployment in one process on loopback. Entry hosts and agents run their real
+ * process classes; the object API, the host list and the engines are fakes.
  */
 class Fleet
 {
@@ -39,12 +39,12 @@
     ~Fleet();
 
     void start();
-    /** Waits until every entry serves; false after @p timeout. */
+    /** Waits until all entries are ready and together hold all key slots; returns false on timeout. */
     bool waitReady(std::chrono::milliseconds timeout);
-    /** The engine and the agent of one runner die at once; the host list follows later by dropRunner(). */
+    /** Kills the engine and the agent of one runner; the host list keeps the runner until dropRunner(). */
     void killRunner(std::size_t index);
     void dropRunner(std::size_t index);
-    /** A new incarnation of an agent beside its running engine, at another port. */
+    /** Replaces an agent by a new incarnation on another port; its engine keeps running. */
     void restartAgent(std::size_t index);
     void stop();
 
@@ -72,7 +72,7 @@
     std::vector<std::shared_ptr<Engine>> m_engines;
     std::vector<std::uint16_t> m_enginePorts;
     std::vector<std::string> m_agentSettings;
-    std::vector<std::unique_ptr<AgentProcess>> m_stopped; ///< kept until the end: their handlers may still run
+    std::vector<std::unique_ptr<AgentProcess>> m_stopped; ///< kept until destruction because their handlers may still run
     std::vector<HostInfo> m_entryHosts;
     std::vector<HostInfo> m_agentHosts;
     std::vector<bool> m_dropped;
--- a/standins/load.cpp
+++ b/standins/load.cpp
@@ -30,7 +30,7 @@
 constexpr std::chrono::milliseconds kBackoff{100};
 constexpr unsigned kMaxTokens = 24;
 constexpr unsigned kMaxPromptBytes = 2000;
-constexpr unsigned kPrompts = 20; ///< different prompts; they share prefixes
+constexpr unsigned kPrompts = 20; ///< distinct beginnings, so that prompts share prefixes
 
 std::string expectedBody(const std::string &serial, unsigned tokens)
 {
@@ -43,7 +43,7 @@
 
 } // namespace
 
-/** The end of one try. */
+/** Outcome of one attempt. */
 struct Load::Try {
     CallerRecord::End end = CallerRecord::End::Lost;
     std::string result; ///< Fulmarlink-Result of a refusal
@@ -123,7 +123,7 @@
 {
     using End = CallerRecord::End;
     CallerRecord &record = m_records[index];
-    // Once unknown, a later "not run" speaks of its own try only.
+    // A "not run" result covers its own attempt only, so it can't settle an earlier unknown outcome.
     record.end = record.end == End::Unknown && result.end == End::NotRun ? End::Unknown : result.end;
     const std::lock_guard lock(m_mutex);
     ++m_report.tries;
@@ -158,7 +158,7 @@
     http::response_parser<http::string_body> parser;
     co_await http::async_read_header(stream, buffer, parser, token);
     if (error) {
-        co_return result; // neither an answer nor a code
+        co_return result; // neither a response nor a result code
     }
     result.firstByteMs = std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begin).count();
     co_await http::async_read(stream, buffer, parser, token);
@@ -170,7 +170,7 @@
         co_return result;
     }
     if (error) {
-        result.end = End::Unknown; // broken off, and the caller can tell
+        result.end = End::Unknown; // the response was truncated, which the caller can detect
         result.result = "broken off";
         co_return result;
     }
--- a/standins/load.h
+++ b/standins/load.h
@@ -18,33 +18,33 @@
 struct LoadOptions {
     unsigned requests = 400;
     unsigned customers = 10;
-    unsigned parallel = 32; ///< callers at work at once
+    unsigned parallel = 32; ///< concurrent callers
     std::uint64_t seed = 1;
-    unsigned maxTries = 6; ///< of one request, by the caller
-    double noteShare = 0.2; ///< requests that may run once only, each with an idempotency key
-    double serviceShare = 0.3; ///< requests for the plain service
-    unsigned tokens = 0; ///< of each generated answer; 0: drawn
+    unsigned maxTries = 6; ///< attempts that a caller makes for one request
+    double noteShare = 0.2; ///< share of requests that must run at most once; each has an idempotency key
+    double serviceShare = 0.3; ///< share of requests to the plain service
+    unsigned tokens = 0; ///< tokens per generated response; 0: random
 };
 
-/** What the callers' own ledger says; nothing in it comes from the balancer's counters. */
+/** Results as recorded by the callers; none of them come from the balancer's counters. */
 struct LoadReport {
-    unsigned sent = 0; ///< requests, repeats not counted
+    unsigned sent = 0; ///< requests, without retries
     unsigned tries = 0;
     unsigned answered = 0;
-    unsigned notRun = 0; ///< given up after maxTries refusals, all "not run"
-    unsigned unknown = 0; ///< ended with an honest "outcome unknown"
-    unsigned lost = 0; ///< no answer and no code at all
-    unsigned crossed = 0; ///< somebody else's answer
-    unsigned cutShort = 0; ///< an answer that seemed whole and was not
-    unsigned falseNotRun = 0; ///< every try was said to be "not run", and yet a runner's ledger has it
-    unsigned doubled = 0; ///< single-run requests that runners' ledgers have more than once
-    std::map<std::string, unsigned> refusals; ///< by Fulmarlink-Result, each try
-    std::vector<double> firstByteMs; ///< of answered requests, from the last try's start
+    unsigned notRun = 0; ///< given up after maxTries refusals, all of them "not run"
+    unsigned unknown = 0; ///< ended with an outcome that was reported or detected as unknown
+    unsigned lost = 0; ///< neither a response nor a result code
+    unsigned crossed = 0; ///< received the response to another request
+    unsigned cutShort = 0; ///< the response ended normally but its body was not the expected one
+    unsigned falseNotRun = 0; ///< every attempt was reported "not run", but a runner's ledger has the request
+    unsigned doubled = 0; ///< single-run requests that occur more than once in the runners' ledgers
+    std::map<std::string, unsigned> refusals; ///< attempts by Fulmarlink-Result
+    std::vector<double> firstByteMs; ///< answered requests only, measured from the start of the last attempt
 
     double percentile(double share) const;
 };
 
-/** What one caller asked and what became of it. */
+/** One request of a caller and its outcome. */
 struct CallerRecord {
     std::string serial;
     bool singleRun = false;
@@ -60,9 +60,9 @@
 };
 
 /**
- * Callers over real sockets: each request goes to one entry, repeats of it to the
- * next. A refusal that says "not run" is tried again; so is an unknown outcome of a
- * request that may be repeated, or that carries an idempotency key.
+ * Load generator over real sockets. Each request goes to one entry, each retry to the next
+ * entry. Retries "not run" refusals and unknown outcomes; the latter is safe because every
+ * request either may be repeated or carries an idempotency key.
  */
 class Load
 {
@@ -72,7 +72,7 @@
     void start();
     bool finished() const;
     unsigned done() const;
-    /** The report, with what the runners' ledgers say of each serial. Call once finished. */
+    /** Compares the recorded outcomes with @p executions, the number of runs in the runners' ledgers by serial. Call once finished. */
     LoadReport report(const std::map<std::string, unsigned> &executions) const;
 
 private:
--- a/standins/objectapi.h
+++ b/standins/objectapi.h
@@ -16,9 +16,9 @@
 {
 
 /**
- * Stands in for the platform's object API and host list, over HTTP and in memory.
- * Faults are set by calls: down (every call gets 503), slow, and lost answers (the
- * write takes effect, the connection gets 500).
+ * In-memory fake of the platform's object API and host list over HTTP.
+ * Injectable faults of the object API: down (every call gets 503), delayed responses, and lost
+ * answers (the write takes effect, but the caller gets 500).
  */
 class ObjectApi
 {
@@ -27,11 +27,11 @@
 
     std::uint16_t listen(const std::string &address, std::uint16_t port);
     void setHosts(std::vector<HostInfo> hosts);
-    /** Puts an object in place, whatever is there. */
+    /** Writes an object unconditionally. */
     void seed(const std::string &key, const std::string &text);
     void setDown(bool down);
     void setDelay(std::chrono::milliseconds delay);
-    /** The answers of the next @p count writes are lost. */
+    /** The next @p count writes take effect but are answered with 500. */
     void loseAnswers(unsigned count);
     std::uint64_t calls() const;
     StoredObject object(const std::string &key) const;
@@ -40,7 +40,7 @@
 private:
     boost::asio::awaitable<HttpResponse> handle(HttpRequest request);
     boost::asio::awaitable<HttpResponse> read(std::string key, std::string query);
-    /** The host list, with an entity tag; 304 to a caller that has it. */
+    /** Returns the host list with an entity tag, or 304 if the caller's If-None-Match has that tag. */
     HttpResponse hostList(const HttpRequest &request) const;
     HttpResponse write(const std::string &key, const HttpRequest &request);
     HttpResponse answer(const StoredObject &object, bool withText) const;
--- a/standins/platformfleet.cpp
+++ b/standins/platformfleet.cpp
@@ -26,13 +26,13 @@
 
 const std::string kLoopback = "127.0.0.1";
 const std::string kObjects(wire_names::kObjectsPath);
-const std::string kOther = "other"; ///< an attempt that nobody made
+const std::string kOther = "other"; ///< attempt id that no caller sends
 constexpr unsigned kOk = 200;
 constexpr unsigned kCreated = 201;
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kConflict = 409;
 constexpr unsigned kGone = 410;
-constexpr auto kWatchStep = std::chrono::milliseconds(4); ///< how often a watch looks for changes
+constexpr auto kWatchStep = std::chrono::milliseconds(4); ///< polling interval of watches
 
 HttpResponse jsonResponse(unsigned status, const json::value &value)
 {
@@ -49,14 +49,14 @@
     return std::string(name) + ": " + std::string(value) + "\r\n";
 }
 
-/** What follows @p name in a query; 0 if it is not there. */
+/** The number that follows @p name in @p query; 0 if absent. */
 std::uint64_t numberIn(const std::string &query, const std::string &name)
 {
     const std::size_t at = query.find(name);
     return at == std::string::npos ? 0 : std::strtoull(query.c_str() + at + name.size(), nullptr, 10);
 }
 
-/** A whole answer to a request that was never made. */
+/** A complete response to a request that was never made. */
 std::string strayAnswer()
 {
     return "HTTP/1.1 200 OK\r\n" + line(wire_names::kAttemptId, kOther) + line(wire_names::kServerSeal, "x") + "Content-Length: 5\r\n\r\nwrong";
@@ -165,7 +165,7 @@
     return jsonResponse(there ? kOk : kNotFound, json::object());
 }
 
-/** Answers when an object of the kind has changed since, or when the caller has waited as long as it said. */
+/** Long poll: returns once an object of the kind has changed since the given revision, or after wait_ms. */
 asio::awaitable<HttpResponse> PlatformStore::watch(std::string kind, std::string query)
 {
     if (faults.forgetful) {
@@ -195,7 +195,7 @@
 asio::awaitable<HttpResponse> PlatformStore::handle(HttpRequest request)
 {
     ++calls;
-    boost::system::error_code ignored; // timers that end with the test
+    boost::system::error_code ignored; // the timers are not cancelled before the test ends
     const bool reads = request.method() == http::verb::get;
     const bool lost = !reads && faults.loseWrites > 0;
     std::string path(request.target());
@@ -276,7 +276,7 @@
 
 void PlatformRunner::end()
 {
-    boost::system::error_code ignored; // nobody is left who could care
+    boost::system::error_code ignored; // a close error has no consequence for a runner that has ended
     m_acceptor.close(ignored);
     for (boost::beast::tcp_stream *stream : m_open) {
         if (!lossy) {
@@ -343,7 +343,7 @@
     m_open.erase(&stream);
 }
 
-/** A stream's head goes out before its first token is made. */
+/** Ends the runner. For a stream, sends the response head first, since it precedes the first token. */
 asio::awaitable<void> PlatformRunner::crash(boost::beast::tcp_stream &stream, const HttpRequest &request)
 {
     if (request.target().starts_with("/stream/")) {
@@ -351,7 +351,7 @@
                        head(request, "200 OK", line(wire_names::kServerSeal, m_id) + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"));
     }
     if (!m_acceptor.is_open()) {
-        co_return; // another request ended it meanwhile
+        co_return; // another request has already ended the runner
     }
     stream.close();
     end();
@@ -378,7 +378,7 @@
            + line("Keep-Alive", "timeout=5") + ownLines() + extra;
 }
 
-/** What every answer says of the runner itself. */
+/** Header lines about the runner itself that every response carries. */
 std::string PlatformRunner::ownLines() const
 {
     std::string lines = limit.empty() ? std::string() : line(wire_names::kRequestLimit, limit);
--- a/standins/platformfleet.h
+++ b/standins/platformfleet.h
@@ -17,20 +17,20 @@
 namespace fulmarlink::standins
 {
 
-/** How the platform's store misbehaves. */
+/** Faults to inject into a PlatformStore. */
 struct StoreFaults {
-    unsigned refuseWith = 0; ///< status for every call; 0: none
+    unsigned refuseWith = 0; ///< HTTP status returned for every call; 0: no fault
     bool silent = false; ///< calls are read and never answered
-    unsigned loseWrites = 0; ///< so many writes are done and not answered
-    bool forgetful = false; ///< what is asked to be watched from is gone
-    bool deaf = false; ///< watches hear of nothing
-    bool hasty = false; ///< watches are answered at once, with nothing
+    unsigned loseWrites = 0; ///< number of further writes that take effect but are never answered
+    bool forgetful = false; ///< watches get 410: the store no longer has their start revision
+    bool deaf = false; ///< watches report no changes
+    bool hasty = false; ///< watches return at once without events
     std::chrono::milliseconds delay{0};
 };
 
 /**
- * Stands in for the platform's store: objects by kind and name with revisions and
- * conditions, lists, over HTTP and in memory. For one thread.
+ * In-memory fake of the platform's store over HTTP: objects by kind and name with revisions,
+ * conditional writes, lists and watches. Not thread-safe.
  */
 class PlatformStore
 {
@@ -38,19 +38,19 @@
     explicit PlatformStore(boost::asio::io_context &context);
 
     HttpTarget listen();
-    /** Writes an object of the operator or of a runner, whatever is there. */
+    /** Writes an object unconditionally, as the operator or a runner would. */
     void set(const std::string &kind, const std::string &name, boost::json::value spec);
     void remove(const std::string &kind, const std::string &name);
     bool has(const std::string &kind, const std::string &name) const;
-    /** Its content; null if it is not there. */
+    /** The object's spec; null if there is no such object. */
     boost::json::value get(const std::string &kind, const std::string &name) const;
     /** The names of a kind's objects. */
     std::vector<std::string> names(const std::string &kind) const;
 
     StoreFaults faults;
     unsigned calls = 0;
-    unsigned writes = 0; ///< calls that were not reads
-    bool spoil = false; ///< lists hold one more item whose text is not valid in its encoding
+    unsigned writes = 0; ///< calls other than GET
+    bool spoil = false; ///< lists contain an additional item whose strings are not valid UTF-8
 
 private:
     struct Object {
@@ -68,69 +68,69 @@
     boost::asio::io_context &m_context;
     std::shared_ptr<HttpServer> m_server;
     std::map<std::string, std::map<std::string, Object>> m_objects; ///< by kind, by name
-    std::map<std::string, std::map<std::string, std::uint64_t>> m_removed; ///< revisions of removals, by kind, by name
+    std::map<std::string, std::map<std::string, std::uint64_t>> m_removed; ///< revision of each removal, by kind, by name
     std::uint64_t m_revision = 1;
 };
 
-/** What a runner of @p pool writes of itself into the store. */
+/** The store entry that a runner of @p pool writes for itself. */
 boost::json::object runnerEntry(const std::string &pool, const HttpTarget &address, unsigned slots, const std::string &state = "ready");
 
-/** What a runner does with one request. */
+/** How a PlatformRunner handles one request. */
 enum class RunnerAct : std::uint8_t {
-    Answer, ///< a whole answer
-    Refuse, ///< not run: full
-    Misdirected, ///< not run: another runner has the address
-    Fail, ///< runs it and fails
+    Answer, ///< runs it and sends a complete response
+    Refuse, ///< not run: at capacity
+    Misdirected, ///< not run: the request expects another runner at this address
+    Fail, ///< runs it and answers 500
     ResetUnanswered, ///< runs it and resets the connection
-    Silent, ///< runs it and says nothing
-    Foreign, ///< an answer to another request comes before the right one
-    Unsealed, ///< an answer that nobody vouches for
-    Unframed, ///< an answer without a length that ends with its connection
-    Truncated, ///< an answer that breaks off
-    Extra, ///< a second answer after the right one
-    Garbage, ///< bytes that are no answer
-    CutStream, ///< a stream that breaks off inside its third event
-    Crash, ///< runs it, and the whole runner ends
+    Silent, ///< runs it and sends no response
+    Foreign, ///< sends the response to another request before the correct one
+    Unsealed, ///< sends a response without the server seal header
+    Unframed, ///< sends a response without a length, delimited by the end of the connection
+    Truncated, ///< closes the connection in the middle of the body
+    Extra, ///< sends a second response after the correct one
+    Garbage, ///< sends bytes that are not an HTTP response
+    CutStream, ///< closes a stream in the middle of the third event that it sends
+    Crash, ///< runs it, and the runner process ends
 };
 
-/** Stands in for one runner of the platform. For one thread. */
+/** Fake runner of the platform. Not thread-safe. */
 class PlatformRunner
 {
 public:
     PlatformRunner(boost::asio::io_context &context, std::string id);
 
-    /** @p port 0: any that is free. */
+    /** Port 0 selects a free port. */
     HttpTarget listen(std::uint16_t port = 0);
     const std::string &id() const;
-    /** The process is gone: connections are cut, new ones are refused. */
+    /** Simulates the end of the process: closes open connections and refuses new ones. */
     void end();
-    bool lossy = false; ///< when it ends, callers do not hear of it on their open connections
-    /** Begins another life; listen() follows. */
+    bool lossy = false; ///< end() leaves open connections open, so callers aren't notified
+    /** Sets the id of the next incarnation; call listen() afterwards. */
     void setId(std::string id);
 
-    /** Called when a request has ended the runner. */
+    /** Called after a request has crashed the runner. */
     std::function<void()> crashed;
-    /** Chooses what happens to a request; by default all are answered. */
+    /** Chooses how a request is handled; the default answers all of them. */
     std::function<RunnerAct(const HttpRequest &)> act;
-    std::chrono::milliseconds work{0}; ///< before an answer, and between events
-    unsigned events = 6; ///< of a stream
-    std::string limit; ///< requests a second, as it names them in its answers; empty: it names none
-    std::string retryAfter; ///< seconds, as it names them when it turns a request away; empty: it names none
-    bool leaving = false; ///< it says so in its answers
-    /** What it says of itself, fields of the platform's report; empty: it is in no group. */
+    std::chrono::milliseconds work{0}; ///< delay before a response and between events
+    unsigned events = 6; ///< number of events in a stream
+    std::string limit; ///< rate limit in requests per second, sent with each response; empty: not sent
+    std::string retryAfter; ///< Retry-After in seconds, sent with RunnerAct::Refuse; empty: not sent
+    bool leaving = false; ///< announced in each response
+    /** Fields of the platform's runner report; empty: the runner is in no group. */
     boost::json::object report;
-    std::vector<std::string> ran; ///< ids of the attempts that were run
-    std::vector<HttpRequest> seen; ///< all requests that arrived, but for those of its report
+    std::vector<std::string> ran; ///< ids of the attempts that it ran
+    std::vector<HttpRequest> seen; ///< all received requests except reads of the report
     std::size_t openConnections() const;
-    std::size_t connections = 0; ///< that were opened to it
-    unsigned reports = 0; ///< times that its report was read
+    std::size_t connections = 0; ///< connections accepted so far
+    unsigned reports = 0; ///< number of reads of the report
     unsigned abandoned = 0; ///< streams whose connection closed before their end
 
 private:
     boost::asio::awaitable<void> acceptLoop();
     boost::asio::awaitable<void> serve(boost::asio::ip::tcp::socket socket);
     boost::asio::awaitable<bool> answer(boost::beast::tcp_stream &stream, const HttpRequest &request, RunnerAct act);
-    /** True if the request was about the runner itself and is answered. */
+    /** Answers a read of the runner's report; returns false for any other request. */
     boost::asio::awaitable<bool> answerReport(boost::beast::tcp_stream &stream, const HttpRequest &request, bool &again);
     boost::asio::awaitable<void> crash(boost::beast::tcp_stream &stream, const HttpRequest &request);
     boost::asio::awaitable<bool> stream(boost::beast::tcp_stream &stream, const HttpRequest &request, RunnerAct act);
