--- a/fulmarlink/mapswitchparticipant.h
+++ b/fulmarlink/mapswitchparticipant.h
@@ -27,7 +27,7 @@
  * A new agent reads it from the engine before it sends any message.
  */
 struct RankEngineState {
-    std::uint64_t generation = 0; ///< highest coordinator generation seen; stage and arm orders of older ones are refused
+    std::uint64_t generation = 0; ///< highest coordinator generation seen; stage, arm and form orders of older ones are refused
     std::uint64_t epoch = 0; ///< generation in which the group was last formed; ranks of one epoch run steps together
     MapVersion mapVersion = 0; ///< version in use
     MapVersion armedVersion = 0; ///< 0: not armed
