--- a/app/demo.cpp
+++ b/app/demo.cpp
@@ -53,7 +53,7 @@
 {
     std::map<std::string, unsigned> result;
     for (const auto &engine : fleet.engines()) {
-        for (const standins::EngineLedgerLine &line : engine->ledger()) {
+        for (const standins::EngineLedgerEntry &line : engine->ledger()) {
             ++result[line.serial];
         }
     }
@@ -82,7 +82,7 @@
             std::cerr << "runner killed\n";
         }
         if (killed && !dropped && std::chrono::steady_clock::now() > killedAt + kHostListLag) {
-            fleet.dropRunner(kVictim);
+            fleet.unlistRunner(kVictim);
             dropped = true;
         }
         if (std::chrono::steady_clock::now() >= nextLine) {
@@ -105,9 +105,9 @@
     row("refused to the end, not run", report.notRun);
     row("outcome unknown, said so", report.unknown);
     row("lost", report.lost);
-    row("doubled", report.doubled);
-    row("crossed", report.crossed);
-    row("cut short", report.cutShort);
+    row("doubled", report.duplicateRuns);
+    row("crossed", report.misdelivered);
+    row("cut short", report.wrongBody);
     row("falsely said to be not run", report.falseNotRun);
     for (const auto &[result, count] : report.refusals) {
         row("  tries refused: " + result, count);
@@ -128,9 +128,9 @@
                                      {"not_run", report.notRun},
                                      {"unknown", report.unknown},
                                      {"lost", report.lost},
-                                     {"doubled", report.doubled},
-                                     {"crossed", report.crossed},
-                                     {"cut_short", report.cutShort},
+                                     {"doubled", report.duplicateRuns},
+                                     {"crossed", report.misdelivered},
+                                     {"cut_short", report.wrongBody},
                                      {"false_not_run", report.falseNotRun},
                                      {"refusals", refusals},
                                      {"p50_ms", report.percentile(0.5)},
@@ -175,7 +175,7 @@
         return ExitCode::Failed;
     }
     options.json ? printJson(report) : printTable(report);
-    const unsigned bad = report.lost + report.doubled + report.crossed + report.cutShort + report.falseNotRun;
+    const unsigned bad = report.lost + report.duplicateRuns + report.misdelivered + report.wrongBody + report.falseNotRun;
     return bad == 0 ? ExitCode::Ok : ExitCode::Failed;
 }
 
--- a/bench/capacity_bench.cpp
+++ b/bench/capacity_bench.cpp
@@ -169,12 +169,12 @@
         return cost;
     }
 
-    Cost run(unsigned requests, double serviceShare, double noteShare, unsigned tokens, bool direct, unsigned parallel)
+    Cost run(unsigned requests, double serviceShare, double singleRunShare, unsigned tokens, bool direct, unsigned parallel)
     {
         standins::LoadOptions load;
         load.requests = requests;
         load.serviceShare = serviceShare;
-        load.noteShare = noteShare;
+        load.singleRunShare = singleRunShare;
         load.tokens = tokens;
         load.parallel = parallel;
         load.seed = m_seed++;
--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -35,17 +35,17 @@
 constexpr unsigned kMaxTokens = 100'000;
 constexpr std::size_t kPrefixBytes = 256;
 constexpr std::size_t kBytesPerToken = 4;
-constexpr std::chrono::microseconds kStallStep{5000};
-constexpr unsigned kCachedShare = 10; ///< divisor: prefill of a cached prompt takes a tenth of the time
+constexpr std::chrono::microseconds kStallPollInterval{5000};
+constexpr unsigned kCachedPrefillDivisor = 10; ///< divisor: prefill of a cached prompt takes a tenth of the time
 
-std::uint64_t numberOf(beast::string_view text, std::uint64_t fallback)
+std::uint64_t parseNumber(beast::string_view text, std::uint64_t fallback)
 {
     std::uint64_t value = fallback;
     std::from_chars(text.data(), text.data() + text.size(), value);
     return value;
 }
 
-std::string textOf(beast::string_view text)
+std::string toString(beast::string_view text)
 {
     return {text.data(), text.size()};
 }
@@ -113,9 +113,9 @@
     if (error || m_killed) {
         co_return;
     }
-    const std::string target = textOf(request.target());
+    const std::string target = toString(request.target());
     if (target == "/v1/orders") {
-        HttpResponse response = takeOrder(request);
+        HttpResponse response = acceptOrder(request);
         co_await http::async_write(*stream, response, asio::redirect_error(asio::use_awaitable, error));
         co_return;
     }
@@ -136,10 +136,10 @@
 asio::awaitable<void> Engine::generate(Stream &stream, const HttpRequest &request)
 {
     const std::size_t line = enter(request);
-    const unsigned tokens = static_cast<unsigned>(std::min<std::uint64_t>(numberOf(request["X-Tokens"], 8), kMaxTokens));
-    const std::string serial = textOf(request["X-Serial"]);
+    const unsigned tokens = static_cast<unsigned>(std::min<std::uint64_t>(parseNumber(request["X-Tokens"], 8), kMaxTokens));
+    const std::string serial = toString(request["X-Serial"]);
     const auto prompt = static_cast<std::int64_t>(request.body().size() / kBytesPerToken + 1);
-    co_await pause(m_options.prefillPerToken * prompt / (prefixCached(request.body()) ? kCachedShare : 1));
+    co_await pause(m_options.prefillPerToken * prompt / (prefixCached(request.body()) ? kCachedPrefillDivisor : 1));
 
     boost::system::error_code error;
     http::response<http::empty_body> head(http::status::ok, kHttp11);
@@ -169,7 +169,7 @@
     const std::size_t line = enter(request);
     co_await pause(m_options.step);
     boost::system::error_code error;
-    const std::string serial = textOf(request["X-Serial"]);
+    const std::string serial = toString(request["X-Serial"]);
     HttpResponse response = textResponse(200, "{\"serial\":\"" + serial + "\"}\n", "application/json");
     response.set("X-Serial", serial);
     response.prepare_payload();
@@ -181,12 +181,12 @@
     leave(line, !error);
 }
 
-HttpResponse Engine::takeOrder(const HttpRequest &request)
+HttpResponse Engine::acceptOrder(const HttpRequest &request)
 {
-    const std::uint64_t number = numberOf(request["Fencing-Number"], 0);
+    const std::uint64_t number = parseNumber(request["Fencing-Number"], 0);
     const std::lock_guard lock(m_mutex);
-    const bool stale = number < m_fencing;
-    m_fencing = std::max(m_fencing, number);
+    const bool stale = number < m_highestFencing;
+    m_highestFencing = std::max(m_highestFencing, number);
     HttpResponse response = stale && m_options.checksFencing ? textResponse(409, "older fencing number\n") : textResponse(200, "ok\n");
     response.prepare_payload();
     return response;
@@ -197,7 +197,7 @@
     asio::steady_timer timer(co_await asio::this_coro::executor);
     do {
         boost::system::error_code ignored;
-        timer.expires_after(m_stalled ? kStallStep : time);
+        timer.expires_after(m_stalled ? kStallPollInterval : time);
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     } while (m_stalled && !m_killed);
 }
@@ -206,7 +206,7 @@
 {
     ++m_running;
     const std::lock_guard lock(m_mutex);
-    m_ledger.push_back({textOf(request["X-Serial"]), m_options.name, false});
+    m_ledger.push_back({toString(request["X-Serial"]), m_options.name, false});
     return m_ledger.size() - 1;
 }
 
@@ -266,7 +266,7 @@
     m_stalled = stalled;
 }
 
-std::vector<EngineLedgerLine> Engine::ledger() const
+std::vector<EngineLedgerEntry> Engine::ledger() const
 {
     const std::lock_guard lock(m_mutex);
     return m_ledger;
--- a/standins/engine.h
+++ b/standins/engine.h
@@ -29,7 +29,7 @@
 };
 
 /** One request that the engine began to run, identified by the serial number that its caller set. */
-struct EngineLedgerLine {
+struct EngineLedgerEntry {
     std::string serial;
     std::string runner;
     bool finished = false;
@@ -58,7 +58,7 @@
     /** While set, running requests make no progress. */
     void setStalled(bool stalled);
 
-    std::vector<EngineLedgerLine> ledger() const;
+    std::vector<EngineLedgerEntry> ledger() const;
     std::uint64_t prefixHits() const;
 
 private:
@@ -68,7 +68,7 @@
     boost::asio::awaitable<void> serve(boost::asio::ip::tcp::socket socket);
     boost::asio::awaitable<void> generate(Stream &stream, const HttpRequest &request);
     boost::asio::awaitable<void> answerPlain(Stream &stream, const HttpRequest &request);
-    HttpResponse takeOrder(const HttpRequest &request);
+    HttpResponse acceptOrder(const HttpRequest &request);
     boost::asio::awaitable<void> pause(std::chrono::microseconds time);
     std::size_t enter(const HttpRequest &request);
     void leave(std::size_t line, bool finished);
@@ -78,11 +78,11 @@
     EngineOptions m_options;
     boost::asio::ip::tcp::acceptor m_acceptor;
     mutable std::mutex m_mutex;
-    std::vector<EngineLedgerLine> m_ledger;
+    std::vector<EngineLedgerEntry> m_ledger;
     std::list<std::uint64_t> m_prefixes; ///< most recently used first
     std::vector<std::weak_ptr<Stream>> m_streams;
     std::uint64_t m_prefixHits = 0;
-    std::uint64_t m_fencing = 0;
+    std::uint64_t m_highestFencing = 0;
     std::atomic<unsigned> m_running = 0;
     std::atomic<bool> m_refusing = false;
     std::atomic<unsigned> m_breakAfter = 0;
--- a/standins/fleet.cpp
+++ b/standins/fleet.cpp
@@ -74,7 +74,7 @@
     for (unsigned i = 0; i < m_options.serviceRunners; ++i) {
         startAgent(m_options.servicePool, i, service);
     }
-    m_dropped.assign(m_agents.size(), false);
+    m_unlisted.assign(m_agents.size(), false);
     m_objectApi.seed(EntryProcess::kRulesDocument, m_options.rules);
     for (unsigned i = 0; i < m_options.entries; ++i) {
         startEntry(i);
@@ -118,7 +118,7 @@
 {
     std::vector<HostInfo> hosts = m_entryHosts;
     for (std::size_t i = 0; i < m_agentHosts.size(); ++i) {
-        if (!m_dropped[i]) {
+        if (!m_unlisted[i]) {
             hosts.push_back(m_agentHosts[i]);
         }
     }
@@ -153,9 +153,9 @@
     m_agents[index]->stop();
 }
 
-void Fleet::dropRunner(std::size_t index)
+void Fleet::unlistRunner(std::size_t index)
 {
-    m_dropped[index] = true;
+    m_unlisted[index] = true;
     publishHosts();
 }
 
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -41,9 +41,9 @@
     void start();
     /** Waits until all entries are ready and together hold all key slots; returns false on timeout. */
     bool waitReady(std::chrono::milliseconds timeout);
-    /** Kills the engine and the agent of one runner; the host list keeps the runner until dropRunner(). */
+    /** Kills the engine and the agent of one runner; the host list keeps the runner until unlistRunner(). */
     void killRunner(std::size_t index);
-    void dropRunner(std::size_t index);
+    void unlistRunner(std::size_t index);
     /** Replaces an agent by a new incarnation on another port; its engine keeps running. */
     void restartAgent(std::size_t index);
     void stop();
@@ -75,7 +75,7 @@
     std::vector<std::unique_ptr<AgentProcess>> m_stopped; ///< kept until destruction because their handlers may still run
     std::vector<HostInfo> m_entryHosts;
     std::vector<HostInfo> m_agentHosts;
-    std::vector<bool> m_dropped;
+    std::vector<bool> m_unlisted;
     std::uint64_t m_incarnation = 1;
 };
 
--- a/standins/load.cpp
+++ b/standins/load.cpp
@@ -89,7 +89,7 @@
     Random random(m_options.seed * 1'000'003 + index);
     const double kind = std::uniform_real_distribution<double>(0, 1)(random);
     const bool service = kind < m_options.serviceShare;
-    const bool single = !service && kind < m_options.serviceShare + m_options.noteShare;
+    const bool single = !service && kind < m_options.serviceShare + m_options.singleRunShare;
     const std::string serial = "r" + std::to_string(m_options.seed) + '-' + std::to_string(index);
     const unsigned drawn = 1 + static_cast<unsigned>(random() % kMaxTokens);
     const unsigned tokens = service ? 0 : m_options.tokens != 0 ? m_options.tokens : drawn;
@@ -175,10 +175,10 @@
         co_return result;
     }
     if (response["X-Serial"] != serial) {
-        result.end = End::Crossed;
+        result.end = End::Misdelivered;
         co_return result;
     }
-    result.end = tokens > 0 && response.body() != expectedBody(serial, tokens) ? End::CutShort : End::Answered;
+    result.end = tokens > 0 && response.body() != expectedBody(serial, tokens) ? End::WrongBody : End::Answered;
     co_return result;
 }
 
@@ -205,10 +205,10 @@
         report.notRun += record.end == End::NotRun ? 1 : 0;
         report.unknown += record.end == End::Unknown ? 1 : 0;
         report.lost += record.end == End::Lost || record.end == End::Pending ? 1 : 0;
-        report.crossed += record.end == End::Crossed ? 1 : 0;
-        report.cutShort += record.end == End::CutShort ? 1 : 0;
+        report.misdelivered += record.end == End::Misdelivered ? 1 : 0;
+        report.wrongBody += record.end == End::WrongBody ? 1 : 0;
         report.falseNotRun += record.end == End::NotRun && runs > 0 ? 1 : 0;
-        report.doubled += record.singleRun && runs > 1 ? 1 : 0;
+        report.duplicateRuns += record.singleRun && runs > 1 ? 1 : 0;
     }
     return report;
 }
--- a/standins/load.h
+++ b/standins/load.h
@@ -21,7 +21,7 @@
     unsigned parallel = 32; ///< concurrent callers
     std::uint64_t seed = 1;
     unsigned maxTries = 6; ///< attempts that a caller makes for one request
-    double noteShare = 0.2; ///< share of requests that must run at most once; each has an idempotency key
+    double singleRunShare = 0.2; ///< share of requests that must run at most once; each has an idempotency key
     double serviceShare = 0.3; ///< share of requests to the plain service
     unsigned tokens = 0; ///< tokens per generated response; 0: random
 };
@@ -34,10 +34,10 @@
     unsigned notRun = 0; ///< given up after maxTries refusals, all of them "not run"
     unsigned unknown = 0; ///< ended with an outcome that was reported or detected as unknown
     unsigned lost = 0; ///< neither a response nor a result code
-    unsigned crossed = 0; ///< received the response to another request
-    unsigned cutShort = 0; ///< the response ended normally but its body was not the expected one
+    unsigned misdelivered = 0; ///< received the response to another request
+    unsigned wrongBody = 0; ///< the response ended normally but its body was not the expected one
     unsigned falseNotRun = 0; ///< every attempt was reported "not run", but a runner's ledger has the request
-    unsigned doubled = 0; ///< single-run requests that occur more than once in the runners' ledgers
+    unsigned duplicateRuns = 0; ///< single-run requests that occur more than once in the runners' ledgers
     std::map<std::string, unsigned> refusals; ///< attempts by Fulmarlink-Result
     std::vector<double> firstByteMs; ///< answered requests only, measured from the start of the last attempt
 
@@ -54,8 +54,8 @@
         NotRun,
         Unknown,
         Lost,
-        Crossed,
-        CutShort,
+        Misdelivered,
+        WrongBody,
     } end = End::Pending;
 };
 
--- a/standins/objectapi.cpp
+++ b/standins/objectapi.cpp
@@ -19,9 +19,9 @@
 
 constexpr std::string_view kObjects = "/v1/objects/";
 constexpr std::string_view kHosts = "/v1/hosts";
-constexpr std::chrono::milliseconds kWatchStep{20};
+constexpr std::chrono::milliseconds kWatchPollInterval{20};
 
-std::uint64_t numberAfter(std::string_view text, std::string_view name)
+std::uint64_t parseNumberAfter(std::string_view text, std::string_view name)
 {
     const std::size_t at = text.find(name);
     std::uint64_t value = 0;
@@ -100,8 +100,8 @@
 
 asio::awaitable<HttpResponse> ObjectApi::read(std::string key, std::string query)
 {
-    const std::uint64_t above = numberAfter(query, "above=");
-    const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(numberAfter(query, "wait_ms="));
+    const std::uint64_t above = parseNumberAfter(query, "above=");
+    const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(parseNumberAfter(query, "wait_ms="));
     for (;;) {
         {
             const std::lock_guard lock(m_mutex);
@@ -119,7 +119,7 @@
         if (std::chrono::steady_clock::now() >= until) {
             co_return textResponse(304, {});
         }
-        co_await sleepFor(kWatchStep);
+        co_await sleepFor(kWatchPollInterval);
     }
 }
 
@@ -130,7 +130,7 @@
     const std::uint64_t version = it == m_objects.end() ? 0 : it->second.version;
     const auto match = request[http::field::if_match];
     const bool mustBeNew = request[http::field::if_none_match] == "*";
-    const std::uint64_t expected = match.empty() ? 0 : numberAfter({match.data(), match.size()}, "\"");
+    const std::uint64_t expected = match.empty() ? 0 : parseNumberAfter({match.data(), match.size()}, "\"");
     if ((mustBeNew && version != 0) || (!mustBeNew && expected != version)) {
         return textResponse(412, "the version is " + std::to_string(version) + "\n");
     }
--- a/standins/platformfleet.cpp
+++ b/standins/platformfleet.cpp
@@ -32,7 +32,7 @@
 constexpr unsigned kNotFound = 404;
 constexpr unsigned kConflict = 409;
 constexpr unsigned kGone = 410;
-constexpr auto kWatchStep = std::chrono::milliseconds(4); ///< polling interval of watches
+constexpr auto kWatchPollInterval = std::chrono::milliseconds(4); ///< polling interval of watches
 
 HttpResponse jsonResponse(unsigned status, const json::value &value)
 {
@@ -50,7 +50,7 @@
 }
 
 /** The number that follows @p name in @p query; 0 if absent. */
-std::uint64_t numberIn(const std::string &query, const std::string &name)
+std::uint64_t queryNumber(const std::string &query, const std::string &name)
 {
     const std::size_t at = query.find(name);
     return at == std::string::npos ? 0 : std::strtoull(query.c_str() + at + name.size(), nullptr, 10);
@@ -114,7 +114,7 @@
     return result;
 }
 
-json::value PlatformStore::shown(const std::string &name, const Object &object)
+json::value PlatformStore::toJson(const std::string &name, const Object &object)
 {
     return json::object{{"metadata", json::object{{"name", name}, {"revision", object.revision}}}, {"spec", object.spec}};
 }
@@ -126,10 +126,10 @@
         json::array items;
         if (it != m_objects.end()) {
             for (const auto &[key, object] : it->second) {
-                items.push_back(shown(key, object));
+                items.push_back(toJson(key, object));
             }
         }
-        if (spoil) {
+        if (listsInvalidText) {
             items.push_back(json::object{{"metadata", json::object{{"name", "\xff\xfe"}}}, {"spec", "\xc3"}});
         }
         return jsonResponse(kOk, json::object{{"items", items}, {"more", false}, {"current_rev", m_revision}});
@@ -137,7 +137,7 @@
     if (it == m_objects.end() || !it->second.contains(name)) {
         return jsonResponse(kNotFound, json::object{{"error", "not found"}});
     }
-    return jsonResponse(kOk, shown(name, it->second.at(name)));
+    return jsonResponse(kOk, toJson(name, it->second.at(name)));
 }
 
 HttpResponse PlatformStore::write(const std::string &kind, const std::string &name, const HttpRequest &request)
@@ -148,14 +148,14 @@
     auto &objects = m_objects[kind];
     const auto it = objects.find(key);
     if (name.empty() ? it != objects.end() : it == objects.end()) {
-        return jsonResponse(name.empty() ? kConflict : kNotFound, it == objects.end() ? json::value(nullptr) : shown(key, it->second));
+        return jsonResponse(name.empty() ? kConflict : kNotFound, it == objects.end() ? json::value(nullptr) : toJson(key, it->second));
     }
     const json::value *condition = metadata.if_contains("revision");
     if (condition != nullptr && condition->to_number<std::uint64_t>() != it->second.revision) {
-        return jsonResponse(kConflict, shown(key, it->second));
+        return jsonResponse(kConflict, toJson(key, it->second));
     }
     set(kind, key, body.at("spec"));
-    return jsonResponse(name.empty() ? kCreated : kOk, shown(key, objects.at(key)));
+    return jsonResponse(name.empty() ? kCreated : kOk, toJson(key, objects.at(key)));
 }
 
 HttpResponse PlatformStore::erase(const std::string &kind, const std::string &name)
@@ -168,24 +168,24 @@
 /** Long poll: returns once an object of the kind has changed since the given revision, or after wait_ms. */
 asio::awaitable<HttpResponse> PlatformStore::watch(std::string kind, std::string query)
 {
-    if (faults.forgetful) {
+    if (faults.watchRevisionGone) {
         co_return jsonResponse(kGone, json::object());
     }
-    const std::uint64_t since = numberIn(query, "watch=");
-    const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(numberIn(query, "wait_ms="));
+    const std::uint64_t since = queryNumber(query, "watch=");
+    const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(queryNumber(query, "wait_ms="));
     json::array events;
-    while (!faults.hasty && events.empty() && std::chrono::steady_clock::now() < end) {
+    while (!faults.watchesReturnEarly && events.empty() && std::chrono::steady_clock::now() < end) {
         boost::system::error_code ignored; // the timer is not cancelled
-        asio::steady_timer timer(m_context, kWatchStep);
+        asio::steady_timer timer(m_context, kWatchPollInterval);
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         for (const auto &[name, object] : m_objects[kind]) {
-            if (object.revision > since && !faults.deaf) {
-                events.push_back(json::object{{"object", shown(name, object)}, {"removed", false}});
+            if (object.revision > since && !faults.watchesMissChanges) {
+                events.push_back(json::object{{"object", toJson(name, object)}, {"removed", false}});
             }
         }
         for (const auto &[name, revision] : m_removed[kind]) {
-            if (revision > since && !faults.deaf) {
-                events.push_back(json::object{{"object", shown(name, {revision, json::object()})}, {"removed", true}});
+            if (revision > since && !faults.watchesMissChanges) {
+                events.push_back(json::object{{"object", toJson(name, {revision, json::object()})}, {"removed", true}});
             }
         }
     }
@@ -197,7 +197,7 @@
     ++calls;
     boost::system::error_code ignored; // the timers are not cancelled before the test ends
     const bool reads = request.method() == http::verb::get;
-    const bool lost = !reads && faults.loseWrites > 0;
+    const bool lost = !reads && faults.unansweredWrites > 0;
     std::string path(request.target());
     const std::size_t mark = std::min(path.find('?'), path.size());
     const std::string query = path.substr(mark);
@@ -213,14 +213,14 @@
     }
     if (faults.silent || lost) {
         if (lost) {
-            --faults.loseWrites;
+            --faults.unansweredWrites;
             write(kind, name, request);
         }
         asio::steady_timer timer(m_context, std::chrono::hours(1));
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
-    if (faults.refuseWith != 0) {
-        co_return textResponse(faults.refuseWith, "refused\n");
+    if (faults.refusalStatus != 0) {
+        co_return textResponse(faults.refusalStatus, "refused\n");
     }
     if (reads && query.find("watch=") != std::string::npos) {
         HttpResponse changes = co_await watch(kind, query);
@@ -259,7 +259,7 @@
 
 HttpTarget PlatformRunner::listen(std::uint16_t port)
 {
-    ++m_lives;
+    ++m_incarnation;
     const tcp::endpoint endpoint(asio::ip::make_address(kLoopback), port);
     m_acceptor.open(endpoint.protocol());
     m_acceptor.set_option(tcp::acceptor::reuse_address(true));
@@ -279,7 +279,7 @@
     boost::system::error_code ignored; // a close error has no consequence for a runner that has ended
     m_acceptor.close(ignored);
     for (boost::beast::tcp_stream *stream : m_open) {
-        if (!lossy) {
+        if (!silentCrash) {
             stream->close();
         }
     }
@@ -292,11 +292,11 @@
 
 asio::awaitable<void> PlatformRunner::acceptLoop()
 {
-    const unsigned life = m_lives;
+    const unsigned incarnation = m_incarnation;
     for (;;) {
         boost::system::error_code error;
         tcp::socket socket = co_await m_acceptor.async_accept(asio::redirect_error(asio::use_awaitable, error));
-        if (error || life != m_lives) {
+        if (error || incarnation != m_incarnation) {
             co_return;
         }
         ++connections;
@@ -333,7 +333,7 @@
         if (reported) {
             continue;
         }
-        seen.push_back(request);
+        receivedRequests.push_back(request);
         RunnerAct chosen = act(request);
         if (header(request, wire_names::kExpectInstance) != m_id) {
             chosen = RunnerAct::Misdirected;
@@ -355,8 +355,8 @@
     }
     stream.close();
     end();
-    if (crashed) {
-        crashed();
+    if (onCrash) {
+        onCrash();
     }
 }
 
@@ -365,21 +365,22 @@
     if (request.target() != wire_names::kReportPath) {
         co_return false;
     }
-    ++reports;
+    ++reportReads;
     const std::string body = json::serialize(report);
-    again = co_await write(
-        stream, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n" + ownLines() + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+    again = co_await write(stream,
+                           "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n" + runnerHeaderLines() + "Content-Length: " + std::to_string(body.size())
+                               + "\r\n\r\n" + body);
     co_return true;
 }
 
 std::string PlatformRunner::head(const HttpRequest &request, const std::string &status, const std::string &extra) const
 {
     return "HTTP/1.1 " + status + "\r\n" + line(wire_names::kAttemptId, header(request, wire_names::kAttemptId)) + line(wire_names::kServerLoad, "1,0,4")
-           + line("Keep-Alive", "timeout=5") + ownLines() + extra;
+           + line("Keep-Alive", "timeout=5") + runnerHeaderLines() + extra;
 }
 
 /** Header lines about the runner itself that every response carries. */
-std::string PlatformRunner::ownLines() const
+std::string PlatformRunner::runnerHeaderLines() const
 {
     std::string lines = limit.empty() ? std::string() : line(wire_names::kRequestLimit, limit);
     lines += leaving ? line(wire_names::kLeaving, "1") : std::string();
@@ -402,10 +403,11 @@
         const bool full = act == RunnerAct::Refuse;
         const std::string status = full ? "503 Service Unavailable" : "421 Misdirected Request";
         const std::string wait = full && !retryAfter.empty() ? line(wire_names::kRetryAfter, retryAfter) : "";
-        co_return co_await write(stream, "HTTP/1.1 " + status + "\r\n" + line(wire_names::kNotExecuted, "1") + wait + ownLines() + "Content-Length: 0\r\n\r\n");
+        co_return co_await write(
+            stream, "HTTP/1.1 " + status + "\r\n" + line(wire_names::kNotExecuted, "1") + wait + runnerHeaderLines() + "Content-Length: 0\r\n\r\n");
     }
-    ran.push_back(header(request, wire_names::kAttemptId));
-    co_await pause(work);
+    attemptsRun.push_back(header(request, wire_names::kAttemptId));
+    co_await pause(workTime);
     if (request.target().starts_with("/stream/") && (act == RunnerAct::Answer || act == RunnerAct::CutStream)) {
         co_return co_await this->stream(stream, request, act);
     }
@@ -426,13 +428,13 @@
         co_await crash(stream, request);
         open = false;
         break;
-    case RunnerAct::Foreign:
+    case RunnerAct::StrayFirst:
         open = co_await write(stream, strayAnswer() + head(request, "200 OK", sealed + length) + body);
         break;
     case RunnerAct::Unsealed:
         open = co_await write(stream, head(request, "200 OK", length) + body);
         break;
-    case RunnerAct::Unframed:
+    case RunnerAct::WithoutLength:
         co_await write(stream, head(request, "200 OK", sealed + "Connection: close\r\n\r\n") + body);
         open = false;
         break;
@@ -440,7 +442,7 @@
         co_await write(stream, head(request, "200 OK", sealed + length) + body.substr(0, 3));
         open = false;
         break;
-    case RunnerAct::Extra:
+    case RunnerAct::StrayLast:
         open = co_await write(stream, head(request, "200 OK", sealed + length) + body + strayAnswer());
         break;
     case RunnerAct::Garbage:
@@ -472,10 +474,10 @@
         if (cut) {
             co_return false;
         }
-        co_await pause(work);
+        co_await pause(workTime);
     }
     if (!open) {
-        ++abandoned;
+        ++abandonedStreams;
         co_return false;
     }
     co_return co_await write(stream, "0\r\n\r\n");
--- a/standins/platformfleet.h
+++ b/standins/platformfleet.h
@@ -19,12 +19,12 @@
 
 /** Faults to inject into a PlatformStore. */
 struct StoreFaults {
-    unsigned refuseWith = 0; ///< HTTP status returned for every call; 0: no fault
+    unsigned refusalStatus = 0; ///< HTTP status returned for every call; 0: no fault
     bool silent = false; ///< calls are read and never answered
-    unsigned loseWrites = 0; ///< number of further writes that take effect but are never answered
-    bool forgetful = false; ///< watches get 410: the store no longer has their start revision
-    bool deaf = false; ///< watches report no changes
-    bool hasty = false; ///< watches return at once without events
+    unsigned unansweredWrites = 0; ///< number of further writes that take effect but are never answered
+    bool watchRevisionGone = false; ///< watches get 410: the store no longer has their start revision
+    bool watchesMissChanges = false; ///< watches report no changes
+    bool watchesReturnEarly = false; ///< watches return at once without events
     std::chrono::milliseconds delay{0};
 };
 
@@ -50,7 +50,7 @@
     StoreFaults faults;
     unsigned calls = 0;
     unsigned writes = 0; ///< calls other than GET
-    bool spoil = false; ///< lists contain an additional item whose strings are not valid UTF-8
+    bool listsInvalidText = false; ///< lists contain an additional item whose strings are not valid UTF-8
 
 private:
     struct Object {
@@ -63,7 +63,7 @@
     HttpResponse erase(const std::string &kind, const std::string &name);
     HttpResponse read(const std::string &kind, const std::string &name) const;
     HttpResponse write(const std::string &kind, const std::string &name, const HttpRequest &request);
-    static boost::json::value shown(const std::string &name, const Object &object);
+    static boost::json::value toJson(const std::string &name, const Object &object);
 
     boost::asio::io_context &m_context;
     std::shared_ptr<HttpServer> m_server;
@@ -83,11 +83,11 @@
     Fail, ///< runs it and answers 500
     ResetUnanswered, ///< runs it and resets the connection
     Silent, ///< runs it and sends no response
-    Foreign, ///< sends the response to another request before the correct one
+    StrayFirst, ///< sends the response to another request before the correct one
     Unsealed, ///< sends a response without the server seal header
-    Unframed, ///< sends a response without a length, delimited by the end of the connection
+    WithoutLength, ///< sends a response without a length, delimited by the end of the connection
     Truncated, ///< closes the connection in the middle of the body
-    Extra, ///< sends a second response after the correct one
+    StrayLast, ///< sends a second response after the correct one
     Garbage, ///< sends bytes that are not an HTTP response
     CutStream, ///< closes a stream in the middle of the third event that it sends
     Crash, ///< runs it, and the runner process ends
@@ -104,27 +104,27 @@
     const std::string &id() const;
     /** Simulates the end of the process: closes open connections and refuses new ones. */
     void end();
-    bool lossy = false; ///< end() leaves open connections open, so callers aren't notified
+    bool silentCrash = false; ///< end() leaves open connections open, so callers aren't notified
     /** Sets the id of the next incarnation; call listen() afterwards. */
     void setId(std::string id);
 
     /** Called after a request has crashed the runner. */
-    std::function<void()> crashed;
+    std::function<void()> onCrash;
     /** Chooses how a request is handled; the default answers all of them. */
     std::function<RunnerAct(const HttpRequest &)> act;
-    std::chrono::milliseconds work{0}; ///< delay before a response and between events
+    std::chrono::milliseconds workTime{0}; ///< delay before a response and between events
     unsigned events = 6; ///< number of events in a stream
     std::string limit; ///< rate limit in requests per second, sent with each response; empty: not sent
     std::string retryAfter; ///< Retry-After in seconds, sent with RunnerAct::Refuse; empty: not sent
     bool leaving = false; ///< announced in each response
     /** Fields of the platform's runner report; empty: the runner is in no group. */
     boost::json::object report;
-    std::vector<std::string> ran; ///< ids of the attempts that it ran
-    std::vector<HttpRequest> seen; ///< all received requests except reads of the report
+    std::vector<std::string> attemptsRun; ///< ids of the attempts that it ran
+    std::vector<HttpRequest> receivedRequests; ///< all received requests except reads of the report
     std::size_t openConnections() const;
     std::size_t connections = 0; ///< connections accepted so far
-    unsigned reports = 0; ///< number of reads of the report
-    unsigned abandoned = 0; ///< streams whose connection closed before their end
+    unsigned reportReads = 0; ///< number of reads of the report
+    unsigned abandonedStreams = 0; ///< streams whose connection closed before their end
 
 private:
     boost::asio::awaitable<void> acceptLoop();
@@ -137,13 +137,13 @@
     boost::asio::awaitable<bool> write(boost::beast::tcp_stream &stream, std::string text);
     boost::asio::awaitable<void> pause(std::chrono::milliseconds time);
     std::string head(const HttpRequest &request, const std::string &status, const std::string &extra) const;
-    std::string ownLines() const;
+    std::string runnerHeaderLines() const;
 
     boost::asio::io_context &m_context;
     std::string m_id;
     boost::asio::ip::tcp::acceptor m_acceptor;
     std::set<boost::beast::tcp_stream *> m_open; ///< connections of callers
-    unsigned m_lives = 0;
+    unsigned m_incarnation = 0;
 };
 
 } // namespace fulmarlink::standins
--- a/testing/crashingrequest_test.cpp
+++ b/testing/crashingrequest_test.cpp
@@ -106,7 +106,7 @@
 TEST(CrashingRequestStore, StoreThatAnswersLongPollsAtOnceIsNotPolledInATightLoop)
 {
     GatewayFleet fleet({.gateways = 1, .runners = 1});
-    fleet.store.faults.hasty = true;
+    fleet.store.faults.watchesReturnEarly = true;
     ASSERT_TRUE(fleet.start());
     fleet.runFor(1500ms);
     const unsigned before = fleet.store.calls;
@@ -368,11 +368,11 @@
                          CrashingRequestStore,
                          ::testing::Values(StoreCase{"Unavailable",
                                                      [](GatewayFleet &fleet) {
-                                                         fleet.store.faults.refuseWith = 503;
+                                                         fleet.store.faults.refusalStatus = 503;
                                                      }},
                                            StoreCase{"RateLimited",
                                                      [](GatewayFleet &fleet) {
-                                                         fleet.store.faults.refuseWith = 429;
+                                                         fleet.store.faults.refusalStatus = 429;
                                                      }},
                                            StoreCase{"Slow",
                                                      [](GatewayFleet &fleet) {
@@ -380,11 +380,11 @@
                                                      }},
                                            StoreCase{"LosesAnswers",
                                                      [](GatewayFleet &fleet) {
-                                                         fleet.store.faults.loseWrites = 2;
+                                                         fleet.store.faults.unansweredWrites = 2;
                                                      }},
                                            StoreCase{"LosesRevisionHistory",
                                                      [](GatewayFleet &fleet) {
-                                                         fleet.store.faults.forgetful = true;
+                                                         fleet.store.faults.watchRevisionGone = true;
                                                      }},
                                            StoreCase{"RefusesOneHost",
                                                      [](GatewayFleet &fleet) {
@@ -427,7 +427,7 @@
 {
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
-    fleet.store.faults.deaf = true;
+    fleet.store.faults.watchesMissChanges = true;
     sendRepeats(fleet, 2, 1);
     fleet.runFor(11s);
     EXPECT_EQ(fleet.ask(4, fleet.request(kStream)).status, 503U);
--- a/testing/faultisolation_test.cpp
+++ b/testing/faultisolation_test.cpp
@@ -254,11 +254,11 @@
         4s));
     context.run_for(1000ms);
     EXPECT_TRUE(gateway->ready()) << "the configuration is still read";
-    a.seen.clear();
+    a.receivedRequests.clear();
     for (unsigned i = 0; i < 10; ++i) {
         EXPECT_EQ(ask(request("/once/x", "fresh")).status, 200U);
     }
-    EXPECT_TRUE(a.seen.empty()) << "the list of runners is still read";
+    EXPECT_TRUE(a.receivedRequests.empty()) << "the list of runners is still read";
 }
 
 TEST_F(FaultIsolation, MapLeadershipRecoversFromAnException)
--- a/testing/gateway_test.cpp
+++ b/testing/gateway_test.cpp
@@ -126,7 +126,7 @@
 TEST_F(GatewayTest, SkipsAnswerToAnotherRequest)
 {
     start();
-    setActForBoth(RunnerAct::Foreign);
+    setActForBoth(RunnerAct::StrayFirst);
     const Answer answer = ask(request("/once/x"));
     EXPECT_EQ(answer.status, 200U);
     EXPECT_TRUE(answer.body.starts_with("from ")) << answer.body;
@@ -136,14 +136,14 @@
 {
     const ScopedMutation mutation(Mutation::TrustForeignAnswer);
     start();
-    setActForBoth(RunnerAct::Foreign);
+    setActForBoth(RunnerAct::StrayFirst);
     EXPECT_EQ(ask(request("/once/x")).body, "wrong");
 }
 
 TEST_F(GatewayTest, UnsolicitedSecondAnswerIsDiscarded)
 {
     start();
-    setActForBoth(RunnerAct::Extra);
+    setActForBoth(RunnerAct::StrayLast);
     for (int i = 0; i < 6; ++i) {
         const Answer answer = ask(request("/once/x"));
         EXPECT_EQ(answer.status, 200U);
@@ -154,7 +154,7 @@
 TEST_F(GatewayTest, AnswerWithoutLengthEndsWithConnection)
 {
     start();
-    setActForBoth(RunnerAct::Unframed);
+    setActForBoth(RunnerAct::WithoutLength);
     const Answer answer = ask(request("/once/x"));
     EXPECT_EQ(answer.status, 200U);
     EXPECT_TRUE(answer.body.starts_with("from "));
@@ -189,8 +189,8 @@
 {
     a.events = 200;
     b.events = 200;
-    a.work = 20ms;
-    b.work = 20ms;
+    a.workTime = 20ms;
+    b.workTime = 20ms;
     start();
     auto answer = std::make_shared<Answer>();
     auto done = std::make_shared<bool>(false);
@@ -209,7 +209,7 @@
     }
     EXPECT_TRUE(runUntil(
         [this] {
-            return a.abandoned + b.abandoned == 1;
+            return a.abandonedStreams + b.abandonedStreams == 1;
         },
         500ms));
 }
@@ -308,29 +308,29 @@
     start();
     listRunner("i-a", "draining");
     context.run_for(1500ms);
-    const std::size_t before = a.seen.size();
+    const std::size_t before = a.receivedRequests.size();
     for (int i = 0; i < 8; ++i) {
         EXPECT_EQ(ask(request("/once/x")).status, 200U);
     }
-    EXPECT_EQ(a.seen.size(), before);
+    EXPECT_EQ(a.receivedRequests.size(), before);
 }
 
 TEST_F(GatewayTest, RetriesRefusingStoreAtBoundedRate)
 {
     start();
     const unsigned before = store.calls;
-    store.faults.refuseWith = 429;
+    store.faults.refusalStatus = 429;
     context.run_for(2000ms);
     EXPECT_LT(store.calls - before, 40U);
-    store.faults.refuseWith = 0;
+    store.faults.refusalStatus = 0;
     context.run_for(800ms);
     EXPECT_EQ(ask(request("/once/x")).status, 200U);
 }
 
 TEST_F(GatewayTest, DrainServesLateRequestsAndEndsWhenAllAreAnswered)
 {
-    a.work = 300ms;
-    b.work = 300ms;
+    a.workTime = 300ms;
+    b.workTime = 300ms;
     start();
     auto answer = std::make_shared<Answer>();
     auto done = std::make_shared<bool>(false);
@@ -395,8 +395,8 @@
     reportGroups("g", "g");
     a.events = kEvents;
     b.events = kEvents;
-    a.work = 40ms;
-    b.work = 40ms;
+    a.workTime = 40ms;
+    b.workTime = 40ms;
     start();
     auto answer = std::make_shared<Answer>();
     auto done = std::make_shared<bool>(false);
@@ -407,7 +407,7 @@
         },
         2s));
     context.run_for(200ms);
-    const std::string slow = a.ran.empty() ? "i-b" : "i-a";
+    const std::string slow = a.attemptsRun.empty() ? "i-b" : "i-a";
     setLease(2, {slow.c_str()});
     EXPECT_TRUE(runUntil(
         [done] {
@@ -421,7 +421,7 @@
     EXPECT_TRUE(answer->whole);
     EXPECT_EQ(answer->body, expected);
     EXPECT_EQ(ranRequests(), 2U);
-    EXPECT_EQ(a.abandoned + b.abandoned, 1U);
+    EXPECT_EQ(a.abandonedStreams + b.abandonedStreams, 1U);
 }
 
 } // namespace fulmarlink::testing
--- a/testing/gatewaygroups_test.cpp
+++ b/testing/gatewaygroups_test.cpp
@@ -49,12 +49,12 @@
     startGroups();
     setAct(a, RunnerAct::Refuse);
     EXPECT_EQ(countAnswered(20, "/once/x"), 20U);
-    const std::size_t attempts = a.seen.size();
+    const std::size_t attempts = a.receivedRequests.size();
     EXPECT_LE(attempts, 12U) << "after a few refusals only one request per 150 ms probes whether the group has recovered";
     setAct(a, RunnerAct::Answer);
     EXPECT_TRUE(runUntil(
         [this] {
-            return ask(request("/once/x")).status == 200 && !a.ran.empty();
+            return ask(request("/once/x")).status == 200 && !a.attemptsRun.empty();
         },
         3s));
 }
@@ -72,8 +72,8 @@
     const Answer answer = ask(request("/stream/x"));
     EXPECT_EQ(answer.status, 200U);
     EXPECT_TRUE(answer.whole);
-    EXPECT_EQ(a.ran.size(), 1U);
-    EXPECT_EQ(b.ran.size(), 1U);
+    EXPECT_EQ(a.attemptsRun.size(), 1U);
+    EXPECT_EQ(b.attemptsRun.size(), 1U);
 }
 
 // During a rolling update, a host of the earlier version, which supports one group per pool, may run at the same time.
@@ -82,12 +82,12 @@
     store.set("fulmarlink-leases", "plain", json::object{{"holder", "earlier"}, {"renewals", 7}, {"slow", json::array{"i-a"}}});
     startGroups();
     context.run_for(1000ms);
-    a.ran.clear();
-    b.ran.clear();
+    a.attemptsRun.clear();
+    b.attemptsRun.clear();
     for (unsigned i = 0; i < 20; ++i) {
         ask(request("/once/x"));
     }
-    EXPECT_GT(a.ran.size(), 0U) << "the slow list of the pool's lease must be ignored";
+    EXPECT_GT(a.attemptsRun.size(), 0U) << "the slow list of the pool's lease must be ignored";
     EXPECT_TRUE(store.has("fulmarlink-leases", "plain"));
 }
 
@@ -143,17 +143,17 @@
         store.set("servers", "forged-" + std::to_string(i), malformed[i]);
     }
     store.set("servers", "i-b", json::object{{"service", "plain"}, {"addr", 1}});
-    a.ran.clear();
+    a.attemptsRun.clear();
     context.run_for(2500ms);
-    b.seen.clear();
+    b.receivedRequests.clear();
     EXPECT_EQ(countAnswered(10, "/once/x"), 10U);
-    EXPECT_EQ(b.seen.size(), 0U);
+    EXPECT_EQ(b.receivedRequests.size(), 0U);
     EXPECT_NE(counters.text().find("fulmarlink_malformed_targets " + std::to_string(malformed.size() + 1) + '\n'), std::string::npos) << counters.text();
-    store.spoil = true; // returns an item that is not text in any encoding
+    store.listsInvalidText = true; // returns an item that is not text in any encoding
     listRunner("i-b");
     EXPECT_TRUE(runUntil(
         [this] {
-            return ask(request("/once/x")).status == 200 && !b.ran.empty();
+            return ask(request("/once/x")).status == 200 && !b.attemptsRun.empty();
         },
         4s));
 }
--- a/testing/harness/gatewayfixture.h
+++ b/testing/harness/gatewayfixture.h
@@ -159,12 +159,12 @@
 
     std::size_t ranRequests() const
     {
-        return a.ran.size() + b.ran.size();
+        return a.attemptsRun.size() + b.attemptsRun.size();
     }
 
     const HttpRequest &lastRequest() const
     {
-        return a.seen.empty() ? b.seen.back() : a.seen.back();
+        return a.receivedRequests.empty() ? b.receivedRequests.back() : a.receivedRequests.back();
     }
 
     HostClock clock;
--- a/testing/harness/gatewayfleet.cpp
+++ b/testing/harness/gatewayfleet.cpp
@@ -66,12 +66,12 @@
     for (unsigned i = 0; i < options.runners; ++i) {
         m_runners.push_back(std::make_unique<PlatformRunner>(context, "i-" + std::to_string(i)));
         PlatformRunner &runner = *m_runners.back();
-        runner.work = options.workTime;
-        runner.lossy = options.silentCrash;
+        runner.workTime = options.workTime;
+        runner.silentCrash = options.silentCrash;
         runner.act = [this, i](const HttpRequest &request) {
             return chooseAct(i, request);
         };
-        runner.crashed = [this, i] {
+        runner.onCrash = [this, i] {
             m_crashes[m_crashingPath[i]].push_back(std::chrono::steady_clock::now());
             scheduleRestart(i);
         };
@@ -329,7 +329,7 @@
 bool GatewayFleet::attemptRan(const std::string &attemptId) const
 {
     return std::ranges::any_of(m_runners, [&](const auto &runner) {
-        return std::ranges::find(runner->ran, attemptId) != runner->ran.end();
+        return std::ranges::find(runner->attemptsRun, attemptId) != runner->attemptsRun.end();
     });
 }
 
--- a/testing/leavingrunner_test.cpp
+++ b/testing/leavingrunner_test.cpp
@@ -121,7 +121,7 @@
     ASSERT_TRUE(fleet.start());
     ASSERT_TRUE(fleet.runUntil(
         [&fleet] {
-            return fleet.runner(0).reports > 0;
+            return fleet.runner(0).reportReads > 0;
         },
         3s));
     fleet.runFor(200ms);
--- a/testing/soak_main.cpp
+++ b/testing/soak_main.cpp
@@ -146,7 +146,7 @@
             m_runners.push_back(std::make_unique<PlatformRunner>(m_context, "i-" + std::to_string(i)));
             PlatformRunner &runner = *m_runners.back();
             runner.events = kEvents;
-            runner.work = 5ms;
+            runner.workTime = 5ms;
             runner.act = [this, i](const HttpRequest &request) {
                 return chooseAct(i, request);
             };
@@ -176,11 +176,11 @@
                                                                 RunnerAct::Fail,
                                                                 RunnerAct::ResetUnanswered,
                                                                 RunnerAct::Silent,
-                                                                RunnerAct::Foreign,
+                                                                RunnerAct::StrayFirst,
                                                                 RunnerAct::Unsealed,
-                                                                RunnerAct::Unframed,
+                                                                RunnerAct::WithoutLength,
                                                                 RunnerAct::Truncated,
-                                                                RunnerAct::Extra,
+                                                                RunnerAct::StrayLast,
                                                                 RunnerAct::Garbage,
                                                                 RunnerAct::CutStream});
         return pick(100) < 85 ? RunnerAct::Answer : kActs[pick(kActs.size())];
@@ -246,13 +246,13 @@
                 harmed.setMode(static_cast<ProxyMode>(kind), std::chrono::milliseconds(pick(250)));
             }
             if (pick(12) == 0) {
-                m_store.faults.refuseWith = pick(2) == 0 ? 503 : 0;
+                m_store.faults.refusalStatus = pick(2) == 0 ? 503 : 0;
             }
         }
         for (const auto &proxy : m_proxies) {
             proxy->setMode(ProxyMode::Pass);
         }
-        m_store.faults.refuseWith = 0;
+        m_store.faults.refusalStatus = 0;
     }
 
     /** One runner after the other is in need for some seconds. */
@@ -384,7 +384,7 @@
     {
         std::map<std::string, unsigned> runs;
         for (const auto &runner : m_runners) {
-            for (const std::string &id : runner->ran) {
+            for (const std::string &id : runner->attemptsRun) {
                 ++runs[id];
             }
         }
