--- a/fulmarlink/admission.cpp
+++ b/fulmarlink/admission.cpp
@@ -15,8 +15,8 @@
 constexpr double kIdleRunnerLoad = 0.05; ///< added to every load, so that the pace also counts for runners without requests
 /**
  * Event intervals below this share of the target make no difference to callers; above it a group's load is weighted by its interval.
- * A group that waits for a slow rank, or whose map does not fit, thus gets fewer requests until it recovers. Under heavy load with a slow
- * rank this gained 0.07 of the score in 8 runs with and without it; 0.3 instead of 0.7 lost 0.025 there and made no difference under other loads.
+ * A group that waits for a slow rank, or whose map does not fit, thus gets fewer requests until it recovers.
+ * This helps under heavy load with a slow rank, where a lower floor loses part of the gain; under other loads a lower floor makes no difference.
  */
 constexpr double kPaceFloor = 0.7;
 
--- a/fulmarlink/expertmapcontroller.cpp
+++ b/fulmarlink/expertmapcontroller.cpp
@@ -33,7 +33,7 @@
 constexpr Duration kNoStreamsAcquireDelay = std::chrono::milliseconds(1500); ///< longer than hosts with streams need to notice a released lease
 /**
  * For each other group that this host already leads. Longer than kNoStreamsAcquireDelay and than two lease polls, so that the groups are spread over the
- * available hosts and a frozen host affects the maps of one group only. On days with a frozen leader, 3 s scored 0.06 better than 1.3 s (8 runs each).
+ * available hosts and a frozen host affects the maps of one group only.
  */
 constexpr Duration kPerGroupAcquireDelay = std::chrono::milliseconds(3000);
 constexpr Duration kEmptyGroupTimeout = std::chrono::seconds(10); ///< without a listed member; a rolling replacement of ranks takes less
--- a/fulmarlink/expertplanner.h
+++ b/fulmarlink/expertplanner.h
@@ -20,8 +20,8 @@
     unsigned maxChanges = 768; ///< bounds the search
     /**
      * If a rank is slow, the load of every expert counts as at least this share of the mean expert load of its set. An expert that is cold now may be
-     * hot after the next demand shift, and the whole group would then wait for the slow rank again. With a slow rank this raised the score by
-     * 0.025 to 0.09 at three sites, in 8 simulations each.
+     * hot after the next demand shift, and the whole group would then wait for the slow rank again.
+     * Has no effect while no rank is slow.
      */
     double minShareIfSlow = 0.5;
     std::vector<double> slowdowns = {}; ///< by rank, ratio of the actual to the expected processing time; empty: 1 for all
--- a/fulmarlink/gatewaysettings.h
+++ b/fulmarlink/gatewaysettings.h
@@ -37,18 +37,18 @@
     double costWeight = 1; ///< weight of the cost of moving experts, relative to skewWeight
     /**
      * Number of ranks per group whose expert counts are read to estimate demand. Requests spread evenly over the ranks, so two are representative.
-     * Reading 5 cost another 0.02 to 0.03 of the score, partly because passes stop while counts are read, and served no request better in 20 to 30 runs on
-     * four sites.
+     * Reading more ranks costs more, partly because passes stop while counts are read,
+     * and serves no request better.
      */
     unsigned sampledRanks = 2;
     /**
      * Time for the copies of each rank in the first map switch after a shift in demand: one expert on every known engine. This removes most of the
-     * imbalance and takes effect as early as possible. 0.12 s (three copies) served 2 to 15 in 100 fewer on sites with small experts (6 to 8 runs each).
+     * imbalance and takes effect as early as possible. With more copies, sites with small experts serve fewer requests.
      */
     std::chrono::milliseconds firstCopyTime{30};
     /**
      * Time for the copies of each rank in the follow-up switch, rounded to whole experts. The switch must take effect long before demand shifts again:
-     * 0.35 s served 2 to 8 in 100 fewer on the same sites.
+     * with a longer copy time, sites with small experts serve fewer requests.
      */
     std::chrono::milliseconds followUpCopyTime{260};
     double minImbalanceReduction = 0.2; ///< of the busiest rank's load over the mean load; a smaller gain is not worth the cost of orders and copies
--- a/fulmarlink/leaseelector.h
+++ b/fulmarlink/leaseelector.h
@@ -14,7 +14,7 @@
     std::string self;
     /**
      * How long a holder may act after the start of its last successful renewal. While a holder is dead or frozen, its group's map does not follow the
-     * demand until another host takes over: in 40 runs, 3 s instead of 1.8 s served 2% less on one site and made no difference on two others.
+     * demand until another host takes over, so a longer duration can reduce the number of requests served.
      */
     Duration leaseDuration = std::chrono::milliseconds(1800);
     Duration renewInterval = std::chrono::milliseconds(540); ///< leaves time for a renewal that the store does not answer for 0.7 s
