--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -135,7 +135,7 @@
 
 asio::awaitable<void> Engine::generate(Stream &stream, const HttpRequest &request)
 {
-    const std::size_t line = enter(request);
+    const std::size_t line = beginRequest(request);
     const unsigned tokens = static_cast<unsigned>(std::min<std::uint64_t>(parseNumber(request["X-Tokens"], 8), kMaxTokens));
     const std::string serial = toString(request["X-Serial"]);
     const auto prompt = static_cast<std::int64_t>(request.body().size() / kBytesPerToken + 1);
@@ -150,7 +150,7 @@
     co_await http::async_write_header(stream, serializer, asio::redirect_error(asio::use_awaitable, error));
     for (unsigned i = 0; i < tokens && !error; ++i) {
         if (m_killed || (m_breakAfter != 0 && i >= m_breakAfter)) {
-            leave(line, false);
+            endRequest(line, false);
             stream.close();
             co_return;
         }
@@ -161,12 +161,12 @@
     if (!error) {
         co_await asio::async_write(stream, http::make_chunk_last(), asio::redirect_error(asio::use_awaitable, error));
     }
-    leave(line, !error);
+    endRequest(line, !error);
 }
 
 asio::awaitable<void> Engine::answerPlain(Stream &stream, const HttpRequest &request)
 {
-    const std::size_t line = enter(request);
+    const std::size_t line = beginRequest(request);
     co_await pause(m_options.step);
     boost::system::error_code error;
     const std::string serial = toString(request["X-Serial"]);
@@ -174,11 +174,11 @@
     response.set("X-Serial", serial);
     response.prepare_payload();
     if (m_killed) {
-        leave(line, false);
+        endRequest(line, false);
         co_return;
     }
     co_await http::async_write(stream, response, asio::redirect_error(asio::use_awaitable, error));
-    leave(line, !error);
+    endRequest(line, !error);
 }
 
 HttpResponse Engine::acceptOrder(const HttpRequest &request)
@@ -202,7 +202,7 @@
     } while (m_stalled && !m_killed);
 }
 
-std::size_t Engine::enter(const HttpRequest &request)
+std::size_t Engine::beginRequest(const HttpRequest &request)
 {
     ++m_running;
     const std::lock_guard lock(m_mutex);
@@ -210,7 +210,7 @@
     return m_ledger.size() - 1;
 }
 
-void Engine::leave(std::size_t line, bool finished)
+void Engine::endRequest(std::size_t line, bool finished)
 {
     --m_running;
     const std::lock_guard lock(m_mutex);
--- a/standins/engine.h
+++ b/standins/engine.h
@@ -19,7 +19,7 @@
 
 /** Simulated latencies and limits of an Engine. */
 struct EngineOptions {
-    std::string name;
+    std::string name; ///< runner name in the ledger
     unsigned batch = 8; ///< maximum concurrent requests; further ones get 503
     std::chrono::microseconds prefillPerToken{20};
     std::chrono::microseconds step{2000}; ///< time between two tokens
@@ -70,8 +70,8 @@
     boost::asio::awaitable<void> answerPlain(Stream &stream, const HttpRequest &request);
     HttpResponse acceptOrder(const HttpRequest &request);
     boost::asio::awaitable<void> pause(std::chrono::microseconds time);
-    std::size_t enter(const HttpRequest &request);
-    void leave(std::size_t line, bool finished);
+    std::size_t beginRequest(const HttpRequest &request);
+    void endRequest(std::size_t line, bool finished);
     bool prefixCached(const std::string &body);
 
     boost::asio::any_io_executor m_executor;
--- a/standins/fleet.cpp
+++ b/standins/fleet.cpp
@@ -23,7 +23,7 @@
     return settings;
 }
 
-std::string target(const std::string &key, std::uint16_t port)
+std::string targetSetting(const std::string &key, std::uint16_t port)
 {
     return key + ": {address: " + kLoopback + ", port: " + std::to_string(port) + "}\n";
 }
@@ -92,8 +92,8 @@
     m_engines.push_back(std::make_shared<Engine>(m_context.get_executor(), options));
     const std::uint16_t port = m_engines.back()->listen(kLoopback, 0);
     m_enginePorts.push_back(port);
-    const std::string text = "host: " + name + "\nzone: " + zone + "\n" + target("links", 0) + "agent:\n  pool: " + pool + "\n  " + target("runner", port)
-                             + "  concurrency: " + std::to_string(options.batch) + "\n  refusal_statuses: [503]\n";
+    const std::string text = "host: " + name + "\nzone: " + zone + "\n" + targetSetting("links", 0) + "agent:\n  pool: " + pool + "\n  "
+                             + targetSetting("runner", port) + "  concurrency: " + std::to_string(options.batch) + "\n  refusal_statuses: [503]\n";
     m_agentSettings.push_back(text);
     m_agents.push_back(
         std::make_unique<AgentProcess>(m_options.agentContext != nullptr ? *m_options.agentContext : m_context, parseSettings(text), m_incarnation++));
@@ -105,9 +105,10 @@
 {
     const std::string name = "entry-" + std::to_string(index + 1);
     const std::string zone = m_options.zones[index % m_options.zones.size()];
-    const std::string text = "host: " + name + "\nzone: " + zone + "\n" + target("links", 0) + target("admin", 0) + "platform:\n  "
-                             + target("object_api", m_storePort) + "  " + target("host_list", m_storePort) + "  host_list_interval_ms: 200\nentry:\n  "
-                             + target("listen", 0) + "  runners: {picker: " + m_options.picker + "}\n" + m_options.entrySettings;
+    const std::string text = "host: " + name + "\nzone: " + zone + "\n" + targetSetting("links", 0) + targetSetting("admin", 0) + "platform:\n  "
+                             + targetSetting("object_api", m_storePort) + "  " + targetSetting("host_list", m_storePort)
+                             + "  host_list_interval_ms: 200\nentry:\n  " + targetSetting("listen", 0) + "  runners: {picker: " + m_options.picker + "}\n"
+                             + m_options.entrySettings;
     m_entries.push_back(
         std::make_unique<EntryProcess>(m_options.entryContext != nullptr ? *m_options.entryContext : m_context, parseSettings(text), m_incarnation++));
     m_entries.back()->start();
--- a/standins/fleet.h
+++ b/standins/fleet.h
@@ -13,6 +13,7 @@
 namespace fulmarlink::standins
 {
 
+/** Size, zones and settings of a Fleet. */
 struct FleetOptions {
     std::vector<std::string> zones = {"lx-alfragide", "lx-carnaxide", "lx-sacavem"};
     std::string modelPool = "recon-llm";
--- a/standins/load.cpp
+++ b/standins/load.cpp
@@ -26,11 +26,11 @@
 
 constexpr int kHttp11 = 11;
 constexpr const char *kLoopback = "127.0.0.1";
-constexpr std::chrono::seconds kTryTimeout{30};
+constexpr std::chrono::seconds kAttemptTimeout{30};
 constexpr std::chrono::milliseconds kBackoff{100};
 constexpr unsigned kMaxTokens = 24;
 constexpr unsigned kMaxPromptBytes = 2000;
-constexpr unsigned kPrompts = 20; ///< distinct beginnings, so that prompts share prefixes
+constexpr unsigned kPromptBeginnings = 20; ///< distinct beginnings, so that prompts share prefixes
 
 std::string expectedBody(const std::string &serial, unsigned tokens)
 {
@@ -44,7 +44,7 @@
 } // namespace
 
 /** Outcome of one attempt. */
-struct Load::Try {
+struct Load::Attempt {
     CallerRecord::End end = CallerRecord::End::Lost;
     std::string result; ///< Fulmarlink-Result of a refusal
     double firstByteMs = 0;
@@ -99,7 +99,7 @@
     request.set("X-Serial", serial);
     if (!service) {
         request.set("X-Tokens", std::to_string(tokens));
-        request.body() = "prompt " + std::to_string(random() % kPrompts) + std::string(random() % kMaxPromptBytes, 'x');
+        request.body() = "prompt " + std::to_string(random() % kPromptBeginnings) + std::string(random() % kMaxPromptBytes, 'x');
     }
     if (single) {
         request.set("Idempotency-Key", serial);
@@ -108,8 +108,8 @@
     m_records[index].singleRun = single;
 
     for (unsigned attempt = 0; attempt < m_options.maxTries; ++attempt) {
-        const Try result = co_await send(m_ports[(index + attempt) % m_ports.size()], request, serial, tokens);
-        note(index, result);
+        const Attempt result = co_await send(m_ports[(index + attempt) % m_ports.size()], request, serial, tokens);
+        recordAttempt(index, result);
         const bool again = result.end == End::NotRun || result.end == End::Unknown;
         if (!again) {
             break;
@@ -119,7 +119,7 @@
     }
 }
 
-void Load::note(unsigned index, const Try &result)
+void Load::recordAttempt(unsigned index, const Attempt &result)
 {
     using End = CallerRecord::End;
     CallerRecord &record = m_records[index];
@@ -135,15 +135,15 @@
     }
 }
 
-asio::awaitable<Load::Try> Load::send(std::uint16_t port, HttpRequest request, const std::string &serial, unsigned tokens)
+asio::awaitable<Load::Attempt> Load::send(std::uint16_t port, HttpRequest request, const std::string &serial, unsigned tokens)
 {
     using End = CallerRecord::End;
-    Try result;
+    Attempt result;
     boost::system::error_code error;
     auto token = asio::redirect_error(asio::use_awaitable, error);
     const auto begin = std::chrono::steady_clock::now();
     beast::tcp_stream stream(co_await asio::this_coro::executor);
-    stream.expires_after(kTryTimeout);
+    stream.expires_after(kAttemptTimeout);
     co_await stream.async_connect({asio::ip::make_address(kLoopback), port}, token);
     if (error) {
         result.end = End::NotRun;
--- a/standins/load.h
+++ b/standins/load.h
@@ -15,6 +15,7 @@
 namespace fulmarlink::standins
 {
 
+/** Amount and mix of the requests that a Load sends. */
 struct LoadOptions {
     unsigned requests = 400;
     unsigned customers = 10;
@@ -76,12 +77,12 @@
     LoadReport report(const std::map<std::string, unsigned> &executions) const;
 
 private:
-    struct Try;
+    struct Attempt;
 
     boost::asio::awaitable<void> caller(unsigned first);
     boost::asio::awaitable<void> runRequest(unsigned index);
-    boost::asio::awaitable<Try> send(std::uint16_t port, HttpRequest request, const std::string &serial, unsigned tokens);
-    void note(unsigned index, const Try &result);
+    boost::asio::awaitable<Attempt> send(std::uint16_t port, HttpRequest request, const std::string &serial, unsigned tokens);
+    void recordAttempt(unsigned index, const Attempt &result);
 
     boost::asio::io_context &m_context;
     LoadOptions m_options;
--- a/standins/platformfleet.cpp
+++ b/standins/platformfleet.cpp
@@ -26,7 +26,7 @@
 
 const std::string kLoopback = "127.0.0.1";
 const std::string kObjects(wire_names::kObjectsPath);
-const std::string kOther = "other"; ///< attempt id that no caller sends
+const std::string kUnknownAttemptId = "other"; ///< attempt id that no caller sends
 constexpr unsigned kOk = 200;
 constexpr unsigned kCreated = 201;
 constexpr unsigned kNotFound = 404;
@@ -57,9 +57,9 @@
 }
 
 /** A complete response to a request that was never made. */
-std::string strayAnswer()
+std::string strayResponse()
 {
-    return "HTTP/1.1 200 OK\r\n" + line(wire_names::kAttemptId, kOther) + line(wire_names::kServerSeal, "x") + "Content-Length: 5\r\n\r\nwrong";
+    return "HTTP/1.1 200 OK\r\n" + line(wire_names::kAttemptId, kUnknownAttemptId) + line(wire_names::kServerSeal, "x") + "Content-Length: 5\r\n\r\nwrong";
 }
 
 } // namespace
@@ -278,7 +278,7 @@
 {
     boost::system::error_code ignored; // a close error has no consequence for a runner that has ended
     m_acceptor.close(ignored);
-    for (boost::beast::tcp_stream *stream : m_open) {
+    for (boost::beast::tcp_stream *stream : m_openStreams) {
         if (!silentCrash) {
             stream->close();
         }
@@ -313,14 +313,14 @@
 
 std::size_t PlatformRunner::openConnections() const
 {
-    return m_open.size();
+    return m_openStreams.size();
 }
 
 asio::awaitable<void> PlatformRunner::serve(tcp::socket socket)
 {
     boost::beast::tcp_stream stream(std::move(socket));
     boost::beast::flat_buffer buffer;
-    m_open.insert(&stream);
+    m_openStreams.insert(&stream);
     bool again = true;
     while (again) {
         boost::system::error_code error;
@@ -340,7 +340,7 @@
         }
         again = co_await answer(stream, request, chosen);
     }
-    m_open.erase(&stream);
+    m_openStreams.erase(&stream);
 }
 
 /** Ends the runner. For a stream, sends the response head first, since it precedes the first token. */
@@ -429,7 +429,7 @@
         open = false;
         break;
     case RunnerAct::StrayFirst:
-        open = co_await write(stream, strayAnswer() + head(request, "200 OK", sealed + length) + body);
+        open = co_await write(stream, strayResponse() + head(request, "200 OK", sealed + length) + body);
         break;
     case RunnerAct::Unsealed:
         open = co_await write(stream, head(request, "200 OK", length) + body);
@@ -443,7 +443,7 @@
         open = false;
         break;
     case RunnerAct::StrayLast:
-        open = co_await write(stream, head(request, "200 OK", sealed + length) + body + strayAnswer());
+        open = co_await write(stream, head(request, "200 OK", sealed + length) + body + strayResponse());
         break;
     case RunnerAct::Garbage:
         co_await write(stream, "no answer at all\r\n\r\n");
--- a/standins/platformfleet.h
+++ b/standins/platformfleet.h
@@ -84,7 +84,7 @@
     ResetUnanswered, ///< runs it and resets the connection
     Silent, ///< runs it and sends no response
     StrayFirst, ///< sends the response to another request before the correct one
-    Unsealed, ///< sends a response without the server seal header
+    Unsealed, ///< sends a response without the signature header (Server-Seal)
     WithoutLength, ///< sends a response without a length, delimited by the end of the connection
     Truncated, ///< closes the connection in the middle of the body
     StrayLast, ///< sends a second response after the correct one
@@ -142,7 +142,7 @@
     boost::asio::io_context &m_context;
     std::string m_id;
     boost::asio::ip::tcp::acceptor m_acceptor;
-    std::set<boost::beast::tcp_stream *> m_open; ///< connections of callers
+    std::set<boost::beast::tcp_stream *> m_openStreams; ///< connections of callers
     unsigned m_incarnation = 0;
 };
 
