--- a/fulmarlink/gatewayrelay.cpp
+++ b/fulmarlink/gatewayrelay.cpp
@@ -243,12 +243,12 @@
             error = {};
         }
         m_events.push({bytes.data(), bytes.size() - piece.size});
-        const std::string whole = m_events.takeCompleteEvents();
-        if (!whole.empty() && !m_callerGone) {
+        const std::string completeEvents = m_events.takeCompleteEvents();
+        if (!completeEvents.empty() && !m_callerGone) {
             recordEvents(m_state.clock.now());
             bool written = co_await writeStreamHead(parser);
             if (written) {
-                written = co_await writeEvents(whole);
+                written = co_await writeEvents(completeEvents);
             }
             if (!written) {
                 m_reason = "caller does not read";
--- a/fulmarlink/groupswitch.cpp
+++ b/fulmarlink/groupswitch.cpp
@@ -6,13 +6,13 @@
 // Delayed orders. An arm or hold order for P is refused once P has begun, and before that it
 // repeats the present state. A delayed release of P finds no hold, since P is held only once. A
 // prepare order for an older version than the rank has already had is refused. A version is
-// unique to an owner's term, so it identifies the content of one map.
+// unique to a leader's term, so it identifies the content of one map.
 //
-// Concurrent drivers. A new owner that finds P held arms the version that all ranks have
-// prepared, as the previous owner would have; an arm order that the previous owner still sends
-// is identical. So any host may complete a switch at any time, even while the owner is active,
+// Concurrent drivers. A new leader that finds P held arms the version that all ranks have
+// prepared, as the previous leader would have; an arm order that the previous leader still sends
+// is identical. So any host may complete a switch at any time, even while the leader is active,
 // and stale reports only lead to orders that are refused. The pass is released without arming
-// only if some rank has not prepared, and only after the owner's lease has ended. The loss of a
+// only if some rank has not prepared, and only after the leader's lease has ended. The loss of a
 // rank ends the epoch and discards everything that was prepared, armed or held.
 
 #include "fulmarlink/groupswitch.h"
@@ -61,7 +61,7 @@
     enter(SwitchPhase::Prepare);
 }
 
-bool GroupSwitch::recover(const std::vector<RankReport> &reports, bool ownerGone)
+bool GroupSwitch::recover(const std::vector<RankReport> &reports, bool leaderGone)
 {
     m_phase = SwitchPhase::Idle;
     const auto held = std::ranges::find_if(reports, [](const RankReport &report) {
@@ -85,9 +85,9 @@
     const bool prepared = m_version != 0 && std::ranges::all_of(reports, [&](const RankReport &report) {
                               return report.preparedVersion == m_version || report.armedVersion == m_version || report.mapVersion == m_version;
                           });
-    const bool ownerInactive = ownerGone || mutated(Mutation::LetGoBesideOwner);
-    if (isHeld && !prepared && (!ownerInactive || armedRanks > 0)) {
-        return false; // the owner may be about to arm, or a rank was lost, which ends the epoch
+    const bool leaderInactive = leaderGone || mutated(Mutation::LetGoBesideOwner);
+    if (isHeld && !prepared && (!leaderInactive || armedRanks > 0)) {
+        return false; // the leader may be about to arm, or a rank was lost, which ends the epoch
     }
     m_recovering = true;
     if (!isHeld) {
--- a/fulmarlink/groupswitch.h
+++ b/fulmarlink/groupswitch.h
@@ -33,10 +33,10 @@
  * every rank for that pass; release the pass once every rank is armed. Until then the group at
  * worst waits before the held pass, so it never begins that pass with only some ranks armed.
  *
- * Orders may take effect seconds late, or come from an owner that has been replaced. Engines
+ * Orders may take effect seconds late, or come from a leader that has been replaced. Engines
  * don't number these orders, so a newer order can't invalidate an older one. Delayed orders are
- * harmless because state only moves forward: versions are unique to an owner's term, a pass that
- * has begun can no longer be held or armed, and a new owner completes the switch that it finds.
+ * harmless because state only moves forward: versions are unique to a leader's term, a pass that
+ * has begun can no longer be held or armed, and a new leader completes the switch that it finds.
  * The head of groupswitch.cpp has the full argument.
  *
  * Usage: call begin() with a plan, or recover() after taking over. Then, until the phase is
@@ -57,10 +57,10 @@
     /** Begins a switch of a group whose ranks all use one map, with nothing armed or held. @p version must be higher than all earlier ones. */
     void begin(unsigned ranks, std::uint64_t epoch, std::uint64_t version, GroupMap map);
     /**
-     * Completes the switch that the reports (of all ranks, in rank order) show in progress; safe while its owner is still active.
-     * @p ownerGone: no other host can be driving the switch. Returns false if there is nothing to do.
+     * Completes the switch that the reports (of all ranks, in rank order) show in progress; safe while its leader is still active.
+     * @p leaderGone: no other host can be driving the switch. Returns false if there is nothing to do.
      */
-    bool recover(const std::vector<RankReport> &reports, bool ownerGone);
+    bool recover(const std::vector<RankReport> &reports, bool leaderGone);
     /**
      * Leaves the phase Prepare, if every rank has accepted its order, on the assumption that all have finished copying. A rank
      * refuses arm orders until its copy is complete, with the pass held meanwhile.
--- a/fulmarlink/groupwatch.cpp
+++ b/fulmarlink/groupwatch.cpp
@@ -22,7 +22,7 @@
 
 constexpr Duration kPollInterval = std::chrono::milliseconds(200); ///< equals the age of a report; upper bound on how long a new runner waits for its group
 constexpr Duration kFullReadInterval
-    = std::chrono::seconds(8); ///< 64 runners read by 16 hosts are 128 reads/s; a group that re-forms gets no requests for 2 s before
+    = std::chrono::seconds(8); ///< a full read of 64 runners by 16 hosts costs 128 reads/s; a group that re-forms serves no requests for 2 s in any case
 
 } // namespace
 
--- a/fulmarlink/limitpacer.h
+++ b/fulmarlink/limitpacer.h
@@ -12,7 +12,7 @@
 {
 
 struct LimitPacerOptions {
-    unsigned maxSharersAtLowRate = 5; ///< most hosts that share a limit; if its requests per second are more, that many
+    unsigned maxSharersAtLowRate = 5; ///< most hosts that share a limit, or its number of requests per second if that is more
     double minPerSecond = 0.1; ///< floor for all hosts together: without any requests, hosts would not learn that a lower limit has ended
     unsigned assumedHosts = 16; ///< number of hosts assumed until the list of hosts has been read
     Duration maxSlotLifetime = std::chrono::seconds(4); ///< an unused slot expires after this time, or after one interval if that is shorter
@@ -34,8 +34,8 @@
  * are. Unused slots expire: a host that was idle, frozen or disconnected can use at most one
  * of them, or those within `burst`.
  *
- * Contract: pure; not thread-safe; canSend() and tryAcquire() are O(log n) in the number of
- * runners with a limit.
+ * Contract: no I/O and no clock; not thread-safe; canSend() and tryAcquire() are O(log n) in
+ * the number of runners with a limit.
  */
 class LimitPacer
 {
--- a/fulmarlink/targettable.cpp
+++ b/fulmarlink/targettable.cpp
@@ -99,12 +99,12 @@
             ++result.free;
             continue;
         }
-        const TargetIncarnation life{id, state.info.born};
-        const auto next = m_signals->nextSendTime(life, now);
+        const TargetIncarnation incarnation{id, state.info.born};
+        const auto next = m_signals->nextSendTime(incarnation, now);
         const bool limited = found == RunnerExclusion::RateLimited;
         result.limited += limited ? 1 : 0;
         result.backingOff += limited ? 0 : 1;
-        result.limitedPerSecond += limited ? m_signals->pacer.limitOf(life) : 0;
+        result.limitedPerSecond += limited ? m_signals->pacer.limitOf(incarnation) : 0;
         result.slots += limited ? 0 : state.info.slots;
         result.nextRoom = next && (!result.nextRoom || *next < *result.nextRoom) ? next : result.nextRoom;
     }
@@ -280,7 +280,7 @@
         return;
     }
     it->second.group = group;
-    it->second.slow = false; // only the map owner of the new group can mark it as slow
+    it->second.slow = false; // only the leader of the new group can mark it as slow
 }
 
 const std::string &TargetTable::groupOf(const std::string &id) const
--- a/testing/faultisolation_test.cpp
+++ b/testing/faultisolation_test.cpp
@@ -265,16 +265,16 @@
 {
     reportGroups("north", "south");
     startWithThrowingEdges();
-    const auto owned = [this] {
+    const auto hasLeader = [this] {
         return counters.text().find("fulmarlink_map_leader 2\n") != std::string::npos;
     };
-    ASSERT_TRUE(runUntil(owned, 6s));
+    ASSERT_TRUE(runUntil(hasLeader, 6s));
     platform->throwOnLease = true;
     context.run_for(300ms);
     platform->throwOnPlacements = true;
     platform->throwOnReports = true;
     context.run_for(4000ms);
-    EXPECT_TRUE(runUntil(owned, 10s));
+    EXPECT_TRUE(runUntil(hasLeader, 10s));
     EXPECT_EQ(ask(request("/again/fine")).status, 200U);
 }
 
--- a/testing/gateway_test.cpp
+++ b/testing/gateway_test.cpp
@@ -384,7 +384,7 @@
     EXPECT_EQ(ranRequests(), 0U);
 }
 
-// One rank of a group runs far below its usual speed, and the owner of the group's map reports it as slow in the lease.
+// One rank of a group runs far below its usual speed, and the group's leader reports it as slow in the lease.
 TEST_F(GatewayTest, StreamMovesFromSlowRunnerWithoutLosingEvents)
 {
     constexpr unsigned kEvents = 60;
--- a/testing/gatewaygroups_test.cpp
+++ b/testing/gatewaygroups_test.cpp
@@ -149,7 +149,7 @@
     EXPECT_EQ(countAnswered(10, "/once/x"), 10U);
     EXPECT_EQ(b.receivedRequests.size(), 0U);
     EXPECT_NE(counters.text().find("fulmarlink_malformed_targets " + std::to_string(malformed.size() + 1) + '\n'), std::string::npos) << counters.text();
-    store.listsInvalidText = true; // returns an item that is not text in any encoding
+    store.listsInvalidText = true; // returns an item that is not valid UTF-8
     listRunner("i-b");
     EXPECT_TRUE(runUntil(
         [this] {
--- a/testing/groupswitch_test.cpp
+++ b/testing/groupswitch_test.cpp
@@ -1,5 +1,5 @@
 // Checks that every pass uses one map: thousands of random simulations with delayed and lost
-// orders, paused and replaced owners, and helpers that act on stale reports. The mutation tests
+// orders, paused and replaced leaders, and helpers that act on stale reports. The mutation tests
 // check that the simulation detects broken variants of the protocol.
 
 #include <cstdlib>
--- a/testing/harness/rankgroupsimulation.cpp
+++ b/testing/harness/rankgroupsimulation.cpp
@@ -236,7 +236,7 @@
     }
 }
 
-/** Adds a new owner once the last one has not renewed for longer than its lease. */
+/** Adds a new leader once the last one has not renewed for longer than its lease. */
 void RankGroupSimulation::replaceExpiredOwner()
 {
     if (m_step < m_drivers.back()->lastRenewal + m_options.leaseSteps + 10) {
--- a/testing/harness/rankgroupsimulation.h
+++ b/testing/harness/rankgroupsimulation.h
@@ -18,13 +18,13 @@
     unsigned delayedPercent = 20; ///< percent of orders that get no answer and are executed later
     unsigned lostReplyPercent = 10; ///< percent of the orders executed at once whose answer is lost
     unsigned maxReportAge = 8; ///< in steps; the reports of one read differ in age
-    unsigned leaseSteps = 60; ///< an owner that is paused for more steps than this is replaced
+    unsigned leaseSteps = 60; ///< a leader that is paused for more steps than this is replaced
     std::uint64_t seed = 1;
 };
 
 /**
  * Randomized simulation of a rank group whose ranks behave like the platform's engines, with
- * owners that are paused and replaced, helpers that act on stale reports, and orders that are
+ * leaders that are paused and replaced, helpers that act on stale reports, and orders that are
  * lost or delayed. Checks that no pass begins with two maps, and that the group makes progress
  * once the faults stop.
  */
@@ -63,7 +63,7 @@
     std::vector<Rank> m_ranks;
     std::vector<DelayedOrder> m_delayedOrders;
     std::deque<std::vector<RankReport>> m_history;
-    std::vector<std::unique_ptr<Driver>> m_drivers; ///< the present owner is the last element
+    std::vector<std::unique_ptr<Driver>> m_drivers; ///< the present leader is the last element
     std::uint64_t m_pass = 10;
     std::uint64_t m_term = 1;
     unsigned m_step = 0;
