--- a/fulmarlink/guardedplatform.cpp
+++ b/fulmarlink/guardedplatform.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/** What a call gives that broke off: a write may have taken effect, and nothing was read. */
+/** The result of a call that threw: a write may have taken effect, and nothing was read. */
 template<typename Result>
 Result failed()
 {
@@ -114,14 +114,14 @@
     return guarded(m_platform->writeLimitRecord(std::move(record)), "write-limit-record");
 }
 
-asio::awaitable<std::error_code> GuardedPlatform::removeLimitRecord(TargetLife life)
+asio::awaitable<std::error_code> GuardedPlatform::removeLimitRecord(TargetIncarnation incarnation)
 {
-    return guarded(m_platform->removeLimitRecord(std::move(life)), "remove-limit-record");
+    return guarded(m_platform->removeLimitRecord(std::move(incarnation)), "remove-limit-record");
 }
 
-void GuardedPlatform::setRunnerListener(RunnerListener *listener)
+void GuardedPlatform::setAnswerObserver(RunnerAnswerObserver *observer)
 {
-    m_platform->setRunnerListener(listener);
+    m_platform->setAnswerObserver(observer);
 }
 
 asio::awaitable<RankReportRead> GuardedPlatform::readRankReport(TargetInfo target)
--- a/fulmarlink/guardedplatform.h
+++ b/fulmarlink/guardedplatform.h
@@ -10,16 +10,16 @@
 
 /**
  * A platform whose calls never throw: an exception inside a call becomes that call's
- * error, a line and a count.
+ * error, and is logged and counted.
  *
- * What makes a call throw is mostly an object that another writer has put there, and it
- * is there for every host and after every start. The callers here wait for several calls
- * at once and hold leases meanwhile, so an exception would leave them waiting for good.
+ * The usual cause of an exception is an object that another writer has stored. It affects
+ * every host and persists across restarts. The callers wait for several calls at once and
+ * hold leases meanwhile, so an exception would leave them waiting forever.
  */
 class GuardedPlatform final : public Platform
 {
 public:
-    /** @p counters outlives it. */
+    /** @p counters must outlive this object. */
     GuardedPlatform(std::unique_ptr<Platform> platform, Counters &counters);
     ~GuardedPlatform() override;
 
@@ -34,8 +34,8 @@
     boost::asio::awaitable<std::error_code> writeCrashRecord(CrashRecord record) override;
     boost::asio::awaitable<std::error_code> removeCrashRecord(std::string name) override;
     boost::asio::awaitable<std::error_code> writeLimitRecord(LimitRecord record) override;
-    boost::asio::awaitable<std::error_code> removeLimitRecord(TargetLife life) override;
-    void setRunnerListener(RunnerListener *listener) override;
+    boost::asio::awaitable<std::error_code> removeLimitRecord(TargetIncarnation incarnation) override;
+    void setAnswerObserver(RunnerAnswerObserver *observer) override;
     boost::asio::awaitable<RankReportRead> readRankReport(TargetInfo target) override;
     boost::asio::awaitable<ExpertCountsRead> readExpertCounts(TargetInfo target, unsigned layerSets) override;
     boost::asio::awaitable<RankPlacementRead> readRankPlacement(TargetInfo target) override;
--- a/fulmarlink/limitpacer.cpp
+++ b/fulmarlink/limitpacer.cpp
@@ -1,10 +1,10 @@
-// Invariant: `next` is when this host's next slot begins, and it only moves on when a slot is
-// used or the share changes. Slots that pass unused are skipped when they are looked at, so
-// that nothing accrues.
+// Invariant: `next` is the start of this host's next slot. It advances only when a slot is
+// used or the share changes. Slots that expire unused are skipped on lookup, so that unused
+// capacity does not accumulate.
 //
-// A slot may be used late, and the next one begins in its own time all the same, so that the
-// whole share is used; but no sooner than an interval less kMostCredit after that, which is
-// what bounds the requests of a short time where slots are long.
+// Using a slot late does not delay the next one, so that the whole share can be used. But the
+// next slot starts no sooner than one interval, less kMaxCredit, after that use; this bounds
+// the number of requests in a short time where the interval is long.
 
 #include "fulmarlink/limitpacer.h"
 
@@ -20,20 +20,20 @@
 namespace
 {
 
-constexpr double kMostCredit = 0.2; ///< of an interval
-constexpr Duration kShortInterval = std::chrono::seconds(1); ///< the credit may be a burst up to here
-constexpr double kMostPerSecond = 1e5; ///< of one host; more than it can send
-constexpr double kNever = 1e-9; ///< requests a second below which a share counts as none
+constexpr double kMaxCredit = 0.2; ///< fraction of an interval
+constexpr Duration kShortInterval = std::chrono::seconds(1); ///< up to this interval, the credit is LimitPacerOptions::burst
+constexpr double kMaxPerSecond = 1e5; ///< per host; more than a host can send
+constexpr double kMinShare = 1e-9; ///< requests per second; a smaller share counts as none
 
-Duration asDuration(double seconds)
+Duration durationFromSeconds(double seconds)
 {
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-/** The order in which hosts come for a runner; the same on all hosts. */
-std::uint64_t weightOf(const std::string &host, const TargetLife &life)
+/** Hosts share a runner's limit in the order of this hash, lowest first; it is the same on all hosts. */
+std::uint64_t rendezvousWeight(const std::string &host, const TargetIncarnation &incarnation)
 {
-    const std::string key = host + '\n' + life.id + '\n' + std::to_string(life.born);
+    const std::string key = host + '\n' + incarnation.id + '\n' + std::to_string(incarnation.born);
     return XXH3_64bits(key.data(), key.size());
 }
 
@@ -44,59 +44,60 @@
 {
 }
 
-Duration LimitPacer::interval(const Limited &limited)
+Duration LimitPacer::interval(const PacedRunner &runner)
 {
-    return asDuration(1 / limited.share);
+    return durationFromSeconds(1 / runner.share);
 }
 
-Duration LimitPacer::lifeOfSlot(const Limited &limited) const
+Duration LimitPacer::slotLifetime(const PacedRunner &runner) const
 {
-    return std::max(std::min(interval(limited), m_options.slotLife), m_options.burst);
+    return std::max(std::min(interval(runner), m_options.maxSlotLifetime), m_options.burst);
 }
 
-/** Begin of the slot that may be used at @p now, or else of the next one. */
-TimePoint LimitPacer::slot(const Limited &limited, TimePoint now) const
+/** Start of the slot that can be used at @p now, or else of the next one. */
+TimePoint LimitPacer::usableSlot(const PacedRunner &runner, TimePoint now) const
 {
-    const Duration late = now - limited.next - lifeOfSlot(limited);
-    if (late < Duration(0)) {
-        return limited.next;
+    const Duration overdue = now - runner.next - slotLifetime(runner);
+    if (overdue < Duration(0)) {
+        return runner.next;
     }
-    return limited.next + interval(limited) * (late / interval(limited) + 1);
+    return runner.next + interval(runner) * (overdue / interval(runner) + 1);
 }
 
-double LimitPacer::computeShare(const TargetLife &life, double perSecond) const
+double LimitPacer::computeShare(const TargetIncarnation &incarnation, double perSecond) const
 {
-    const double rate = std::clamp(perSecond, m_options.leastPerSecond, kMostPerSecond);
+    const double rate = std::clamp(perSecond, m_options.minPerSecond, kMaxPerSecond);
     if (m_hosts.empty()) {
-        return rate / m_options.hostsUnknown;
+        return rate / m_options.assumedHosts;
     }
-    const double most = std::max<double>(m_options.fewSharers, rate);
-    const auto sharers = static_cast<std::size_t>(std::min<double>(static_cast<double>(m_hosts.size()), most));
-    const std::uint64_t own = weightOf(m_self, life);
-    const auto before = static_cast<std::size_t>(std::ranges::count_if(m_hosts, [&](const std::string &host) {
-        return host != m_self && std::pair(weightOf(host, life), host) < std::pair(own, m_self);
+    const double maxSharers = std::max<double>(m_options.maxSharersAtLowRate, rate);
+    const auto sharers = static_cast<std::size_t>(std::min<double>(static_cast<double>(m_hosts.size()), maxSharers));
+    const std::uint64_t ownWeight = rendezvousWeight(m_self, incarnation);
+    const auto rank = static_cast<std::size_t>(std::ranges::count_if(m_hosts, [&](const std::string &host) {
+        return host != m_self && std::pair(rendezvousWeight(host, incarnation), host) < std::pair(ownWeight, m_self);
     }));
     if (mutated(Mutation::WholeLimitEach)) {
         return rate;
     }
-    return before < sharers ? rate / static_cast<double>(sharers) : 0;
+    return rank < sharers ? rate / static_cast<double>(sharers) : 0;
 }
 
-/** What had passed of the time until the next slot stays passed, so that changes bring no slots of their own. */
-void LimitPacer::setShare(Limited &limited, double share, TimePoint now, Random &random) const
+/** Preserves the elapsed part of the wait for the next slot, so that changes of the share create no additional slots. */
+void LimitPacer::setShare(PacedRunner &runner, double share, TimePoint now, Random &random) const
 {
-    const double before = limited.share;
-    if (share == before) {
+    const double oldShare = runner.share;
+    if (share == oldShare) {
         return;
     }
-    const bool fresh = before < kNever;
-    const TimePoint next = fresh ? now : slot(limited, now);
-    limited.share = share;
-    if (share < kNever) {
+    const bool hadNoShare = oldShare < kMinShare;
+    const TimePoint next = hadNoShare ? now : usableSlot(runner, now);
+    runner.share = share;
+    if (share < kMinShare) {
         return;
     }
-    const double part = fresh ? std::uniform_real_distribution<double>(0, 1)(random) : std::chrono::duration<double>(next - now).count() * before;
-    limited.next = next <= now && !fresh ? now : now + asDuration(std::max(0.0, part) / share);
+    const double remainingPart
+        = hadNoShare ? std::uniform_real_distribution<double>(0, 1)(random) : std::chrono::duration<double>(next - now).count() * oldShare;
+    runner.next = next <= now && !hadNoShare ? now : now + durationFromSeconds(std::max(0.0, remainingPart) / share);
 }
 
 void LimitPacer::setHosts(std::vector<std::string> hosts, const std::string &self, TimePoint now, Random &random)
@@ -106,76 +107,76 @@
         hosts.push_back(self);
     }
     m_hosts = std::move(hosts);
-    for (auto &[life, limited] : m_limited) {
-        setShare(limited, computeShare(life, limited.perSecond), now, random);
+    for (auto &[incarnation, runner] : m_runners) {
+        setShare(runner, computeShare(incarnation, runner.perSecond), now, random);
     }
 }
 
-void LimitPacer::setLimit(const TargetLife &life, double perSecond, TimePoint now, Random &random)
+void LimitPacer::setLimit(const TargetIncarnation &incarnation, double perSecond, TimePoint now, Random &random)
 {
-    Limited &limited = m_limited[life];
-    limited.perSecond = perSecond;
-    setShare(limited, computeShare(life, perSecond), now, random);
+    PacedRunner &runner = m_runners[incarnation];
+    runner.perSecond = perSecond;
+    setShare(runner, computeShare(incarnation, perSecond), now, random);
 }
 
-void LimitPacer::clear(const TargetLife &life)
+void LimitPacer::removeLimit(const TargetIncarnation &incarnation)
 {
-    m_limited.erase(life);
+    m_runners.erase(incarnation);
 }
 
-bool LimitPacer::hasRoom(const TargetLife &life, TimePoint now) const
+bool LimitPacer::canSend(const TargetIncarnation &incarnation, TimePoint now) const
 {
-    const auto next = nextRoom(life, now);
+    const auto next = nextSendTime(incarnation, now);
     return next && *next <= now;
 }
 
-std::optional<TimePoint> LimitPacer::nextRoom(const TargetLife &life, TimePoint now) const
+std::optional<TimePoint> LimitPacer::nextSendTime(const TargetIncarnation &incarnation, TimePoint now) const
 {
-    const auto it = m_limited.find(life);
-    if (it == m_limited.end() || mutated(Mutation::IgnoreLimits)) {
+    const auto it = m_runners.find(incarnation);
+    if (it == m_runners.end() || mutated(Mutation::IgnoreLimits)) {
         return now;
     }
-    if (it->second.share < kNever) {
+    if (it->second.share < kMinShare) {
         return std::nullopt;
     }
-    return std::max(now, slot(it->second, now));
+    return std::max(now, usableSlot(it->second, now));
 }
 
-bool LimitPacer::take(const TargetLife &life, TimePoint now)
+bool LimitPacer::tryAcquire(const TargetIncarnation &incarnation, TimePoint now)
 {
-    if (!hasRoom(life, now)) {
+    if (!canSend(incarnation, now)) {
         return false;
     }
-    const auto it = m_limited.find(life);
-    if (it == m_limited.end() || it->second.share < kNever) {
+    const auto it = m_runners.find(incarnation);
+    if (it == m_runners.end() || it->second.share < kMinShare) {
         return true;
     }
-    const Duration every = interval(it->second);
-    const Duration credit = every <= kShortInterval ? m_options.burst : std::chrono::duration_cast<Duration>(every * kMostCredit);
-    it->second.next = std::max(slot(it->second, now) + every, now + every - credit);
+    const Duration slotInterval = interval(it->second);
+    const Duration credit = slotInterval <= kShortInterval ? m_options.burst : std::chrono::duration_cast<Duration>(slotInterval * kMaxCredit);
+    it->second.next = std::max(usableSlot(it->second, now) + slotInterval, now + slotInterval - credit);
     return true;
 }
 
-std::optional<double> LimitPacer::shareOf(const TargetLife &life) const
+std::optional<double> LimitPacer::shareOf(const TargetIncarnation &incarnation) const
 {
-    const auto it = m_limited.find(life);
-    return it == m_limited.end() ? std::nullopt : std::optional(it->second.share);
+    const auto it = m_runners.find(incarnation);
+    return it == m_runners.end() ? std::nullopt : std::optional(it->second.share);
 }
 
-double LimitPacer::limitOf(const TargetLife &life) const
+double LimitPacer::limitOf(const TargetIncarnation &incarnation) const
 {
-    const auto it = m_limited.find(life);
-    return it == m_limited.end() ? 0 : std::max(it->second.perSecond, m_options.leastPerSecond);
+    const auto it = m_runners.find(incarnation);
+    return it == m_runners.end() ? 0 : std::max(it->second.perSecond, m_options.minPerSecond);
 }
 
-bool LimitPacer::any() const
+bool LimitPacer::hasLimits() const
 {
-    return !m_limited.empty();
+    return !m_runners.empty();
 }
 
-unsigned LimitPacer::hosts() const
+unsigned LimitPacer::hostCount() const
 {
-    return m_hosts.empty() ? m_options.hostsUnknown : static_cast<unsigned>(m_hosts.size());
+    return m_hosts.empty() ? m_options.assumedHosts : static_cast<unsigned>(m_hosts.size());
 }
 
 } // namespace fulmarlink
--- a/fulmarlink/limitwatch.cpp
+++ b/fulmarlink/limitwatch.cpp
@@ -1,4 +1,4 @@
-// Each co_await stands in a statement of its own, as in gatewayexchange.cpp.
+// Each co_await is a statement of its own; gatewayexchange.cpp gives the reason.
 
 #include "fulmarlink/limitwatch.h"
 
@@ -17,8 +17,8 @@
 namespace
 {
 
-constexpr std::size_t kMaxMalformed = 1000; ///< lives remembered, so that each is told of once
-constexpr Duration kStoreRetry = std::chrono::milliseconds(250); ///< as for the other calls of the store
+constexpr std::size_t kMaxLoggedMalformed = 1000; ///< incarnations remembered so that each is logged once
+constexpr Duration kStoreRetry = std::chrono::milliseconds(250); ///< the same as for other store operations
 
 std::chrono::milliseconds unixNow()
 {
@@ -31,170 +31,170 @@
     : m_context(context)
     , m_state(state)
     , m_platform(platform)
-    , m_wake(context, asio::steady_timer::time_point::max())
-    , m_limited(state.counters.registerCounter("fulmarlink_limited_runners"))
-    , m_malformedLimits(state.counters.registerCounter("fulmarlink_malformed_limits_total"))
-    , m_unwrittenLimits(state.counters.registerCounter("fulmarlink_limit_records_waiting"))
+    , m_wakeTimer(context, asio::steady_timer::time_point::max())
+    , m_limitedRunnerCount(state.counters.registerCounter("fulmarlink_limited_runners"))
+    , m_malformedLimitCount(state.counters.registerCounter("fulmarlink_malformed_limits_total"))
+    , m_pendingRecordCount(state.counters.registerCounter("fulmarlink_limit_records_waiting"))
 {
 }
 
 asio::awaitable<void> LimitWatch::sleep(Duration duration)
 {
-    boost::system::error_code ignored; // the timer is not cancelled
+    boost::system::error_code ignored; // this timer is never cancelled
     asio::steady_timer timer(m_context, duration);
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
-void LimitWatch::answered(const TargetInfo &target, const RunnerAnswer &answer, TimePoint sent, const std::string &attempt)
+void LimitWatch::handleAnswer(const TargetInfo &target, const RunnerAnswer &answer, TimePoint sent, const std::string &attempt)
 {
-    const TargetLife life{target.id, target.born};
+    const TargetIncarnation incarnation{target.id, target.born};
     if (!answer.malformedLimit.empty()) {
-        noteMalformed(life, answer.malformedLimit);
+        reportMalformed(incarnation, answer.malformedLimit);
         return;
     }
-    const bool ownWord = answer.speaksForTarget && (answer.requestLimit || (answer.sealed && !answer.attemptId.empty()));
-    if (!ownWord) {
+    const bool authoritative = answer.speaksForTarget && (answer.requestLimit || (answer.isSigned && !answer.attemptId.empty()));
+    if (!authoritative) {
         return;
     }
-    const NamedLimit *known = m_state.signals.limits.find(life);
-    const NamedLimit before = known == nullptr ? NamedLimit{} : *known;
-    const LimitEvidence evidence{answer.requestLimit, sent, m_state.clock.now(), attempt};
-    const LimitChange change = m_state.signals.limits.answered(life, evidence);
-    noteChange(life, change, before);
+    const RunnerLimit *current = m_state.signals.limits.find(incarnation);
+    const RunnerLimit before = current == nullptr ? RunnerLimit{} : *current;
+    const LimitObservation observation{answer.requestLimit, sent, m_state.clock.now(), attempt};
+    const LimitChange change = m_state.signals.limits.applyAnswer(incarnation, observation);
+    applyChange(incarnation, change, before);
     if (change != LimitChange::None) {
-        queue(life);
+        queueRecord(incarnation);
     }
 }
 
-void LimitWatch::take(const SharedRecordsRead &read)
+void LimitWatch::applyRecords(const SharedRecordsRead &read)
 {
-    std::set<TargetLife> present;
+    std::set<TargetIncarnation> present;
     for (const LimitRecord &record : read.limits) {
-        present.insert(record.life);
-        m_recorded[record.life] = record.perSecond;
-        const NamedLimit *known = m_state.signals.limits.find(record.life);
-        const bool own = record.host == m_state.settings.host && known != nullptr;
-        if (own || m_unwritten.contains(record.life)) {
-            continue; // this host knows more than the record
+        present.insert(record.incarnation);
+        m_storedLimits[record.incarnation] = record.perSecond;
+        const RunnerLimit *current = m_state.signals.limits.find(record.incarnation);
+        const bool ownRecord = record.host == m_state.settings.host && current != nullptr;
+        if (ownRecord || m_pendingRecords.contains(record.incarnation)) {
+            continue; // this host's own knowledge is newer than the record
         }
-        const NamedLimit before = known == nullptr ? NamedLimit{} : *known;
-        noteChange(record.life, m_state.signals.limits.told(record.life, record.perSecond, record.host, m_state.clock.now()), before);
+        const RunnerLimit before = current == nullptr ? RunnerLimit{} : *current;
+        applyChange(record.incarnation, m_state.signals.limits.applyRecord(record.incarnation, record.perSecond, record.host, m_state.clock.now()), before);
     }
-    for (const TargetLife &life : read.limitsEnded) {
-        end(life);
+    for (const TargetIncarnation &incarnation : read.removedLimits) {
+        handleRemovedRecord(incarnation);
     }
-    if (!read.whole) {
+    if (!read.complete) {
         return;
     }
-    const std::map<TargetLife, double> recorded = m_recorded;
-    for (const auto &[life, perSecond] : recorded) {
-        if (!present.contains(life)) {
-            end(life);
+    const std::map<TargetIncarnation, double> stored = m_storedLimits;
+    for (const auto &[incarnation, perSecond] : stored) {
+        if (!present.contains(incarnation)) {
+            handleRemovedRecord(incarnation);
         }
     }
 }
 
-/** Its record is gone from the store. */
-void LimitWatch::end(const TargetLife &life)
+/** Handles the removal of the record of @p incarnation from the store. */
+void LimitWatch::handleRemovedRecord(const TargetIncarnation &incarnation)
 {
-    m_recorded.erase(life);
-    const NamedLimit *known = m_state.signals.limits.find(life);
-    if (known == nullptr || m_unwritten.contains(life)) {
+    m_storedLimits.erase(incarnation);
+    const RunnerLimit *current = m_state.signals.limits.find(incarnation);
+    if (current == nullptr || m_pendingRecords.contains(incarnation)) {
         return;
     }
-    const NamedLimit before = *known;
-    noteChange(life, m_state.signals.limits.ended(life), before);
+    const RunnerLimit before = *current;
+    applyChange(incarnation, m_state.signals.limits.remove(incarnation), before);
 }
 
 void LimitWatch::setHosts(const std::vector<std::string> &hosts)
 {
-    const unsigned before = m_state.signals.pacer.hosts();
+    const unsigned before = m_state.signals.pacer.hostCount();
     m_state.signals.pacer.setHosts(hosts, m_state.settings.host, m_state.clock.now(), m_state.random);
-    if (m_state.signals.pacer.hosts() != before) {
-        logChange("limit-sharers", {{"hosts", std::to_string(m_state.signals.pacer.hosts())}, {"before", std::to_string(before)}});
+    if (m_state.signals.pacer.hostCount() != before) {
+        logChange("limit-sharers", {{"hosts", std::to_string(m_state.signals.pacer.hostCount())}, {"before", std::to_string(before)}});
     }
 }
 
-void LimitWatch::dropGone()
+void LimitWatch::removeUnlistedRunners()
 {
-    std::set<TargetLife> unlisted;
-    for (const TargetLife &life : m_state.signals.limits.lives()) {
-        const TargetInfo *target = m_state.targets.find(life.id);
-        const bool listed = target != nullptr && target->born == life.born;
+    std::set<TargetIncarnation> unlisted;
+    for (const TargetIncarnation &incarnation : m_state.signals.limits.incarnations()) {
+        const TargetInfo *target = m_state.targets.find(incarnation.id);
+        const bool listed = target != nullptr && target->born == incarnation.born;
         if (listed) {
             continue;
         }
-        if (!m_unlisted.contains(life)) {
-            unlisted.insert(life);
+        if (!m_unlistedIncarnations.contains(incarnation)) {
+            unlisted.insert(incarnation);
             continue;
         }
-        const NamedLimit before = *m_state.signals.limits.find(life);
-        noteChange(life, m_state.signals.limits.ended(life), before);
-        queue(life);
+        const RunnerLimit before = *m_state.signals.limits.find(incarnation);
+        applyChange(incarnation, m_state.signals.limits.remove(incarnation), before);
+        queueRecord(incarnation);
     }
-    m_unlisted = std::move(unlisted);
+    m_unlistedIncarnations = std::move(unlisted);
 }
 
-void LimitWatch::noteChange(const TargetLife &life, LimitChange change, const NamedLimit &before)
+void LimitWatch::applyChange(const TargetIncarnation &incarnation, LimitChange change, const RunnerLimit &before)
 {
     if (change == LimitChange::None) {
         return;
     }
     const TimePoint now = m_state.clock.now();
-    const NamedLimit *known = m_state.signals.limits.find(life);
-    if (known == nullptr) {
-        m_state.signals.pacer.clear(life);
+    const RunnerLimit *current = m_state.signals.limits.find(incarnation);
+    if (current == nullptr) {
+        m_state.signals.pacer.removeLimit(incarnation);
     } else {
-        m_state.signals.pacer.setLimit(life, known->perSecond, now, m_state.random);
+        m_state.signals.pacer.setLimit(incarnation, current->perSecond, now, m_state.random);
     }
-    m_state.counters.set(m_limited, m_state.signals.limits.size());
-    const NamedLimit &limit = known == nullptr ? before : *known;
+    m_state.counters.set(m_limitedRunnerCount, m_state.signals.limits.size());
+    const RunnerLimit &limit = current == nullptr ? before : *current;
     logChange("runner-limit",
-              {{"target", life.id},
-               {"born", std::to_string(life.born)},
+              {{"target", incarnation.id},
+               {"born", std::to_string(incarnation.born)},
                {"change", limitChangeName(change)},
-               {"per_second", known == nullptr ? "none" : twoDecimals(known->perSecond)},
+               {"per_second", current == nullptr ? "none" : twoDecimals(current->perSecond)},
                {"before", change == LimitChange::Named ? "none" : twoDecimals(before.perSecond)},
-               {"share", twoDecimals(m_state.signals.pacer.shareOf(life).value_or(0))},
-               {"hosts", std::to_string(m_state.signals.pacer.hosts())},
+               {"share", twoDecimals(m_state.signals.pacer.shareOf(incarnation).value_or(0))},
+               {"hosts", std::to_string(m_state.signals.pacer.hostCount())},
                {"age_ms", msText(now - limit.since)},
                {"source", limit.source}});
 }
 
-void LimitWatch::noteMalformed(const TargetLife &life, const std::string &text)
+void LimitWatch::reportMalformed(const TargetIncarnation &incarnation, const std::string &text)
 {
-    m_state.counters.add(m_malformedLimits);
-    if (m_malformed.size() < kMaxMalformed && m_malformed.insert(life).second) {
-        logWarning("runner-limit-malformed", {{"target", life.id}, {"born", std::to_string(life.born)}, {"text", text.substr(0, 64)}});
+    m_state.counters.add(m_malformedLimitCount);
+    if (m_loggedMalformed.size() < kMaxLoggedMalformed && m_loggedMalformed.insert(incarnation).second) {
+        logWarning("runner-limit-malformed", {{"target", incarnation.id}, {"born", std::to_string(incarnation.born)}, {"text", text.substr(0, 64)}});
     }
 }
 
-void LimitWatch::queue(const TargetLife &life)
+void LimitWatch::queueRecord(const TargetIncarnation &incarnation)
 {
-    m_unwritten.insert(life);
-    m_wake.cancel();
+    m_pendingRecords.insert(incarnation);
+    m_wakeTimer.cancel();
 }
 
-/** Brings the record of @p life to what this host knows. */
-asio::awaitable<std::error_code> LimitWatch::write(TargetLife life)
+/** Writes or removes the record of @p incarnation in the store so that it matches what this host knows. */
+asio::awaitable<std::error_code> LimitWatch::synchronizeRecord(TargetIncarnation incarnation)
 {
-    const auto recorded = m_recorded.find(life);
-    const NamedLimit *known = m_state.signals.limits.find(life);
-    const bool there = recorded != m_recorded.end();
-    if (known == nullptr ? !there : there && recorded->second == known->perSecond) {
+    const auto stored = m_storedLimits.find(incarnation);
+    const RunnerLimit *current = m_state.signals.limits.find(incarnation);
+    const bool exists = stored != m_storedLimits.end();
+    if (current == nullptr ? !exists : exists && stored->second == current->perSecond) {
         co_return std::error_code();
     }
     std::error_code error;
-    if (known == nullptr) {
-        error = co_await m_platform.removeLimitRecord(life);
+    if (current == nullptr) {
+        error = co_await m_platform.removeLimitRecord(incarnation);
         if (!error) {
-            m_recorded.erase(life);
+            m_storedLimits.erase(incarnation);
         }
     } else {
-        const LimitRecord record{life, known->perSecond, m_state.settings.host, unixNow()};
+        const LimitRecord record{incarnation, current->perSecond, m_state.settings.host, unixNow()};
         error = co_await m_platform.writeLimitRecord(record);
         if (!error) {
-            m_recorded[life] = record.perSecond;
+            m_storedLimits[incarnation] = record.perSecond;
         }
     }
     co_return error;
@@ -202,30 +202,30 @@
 
 asio::awaitable<void> LimitWatch::publish()
 {
-    boost::system::error_code ignored; // cancelled when there is something to write
-    TargetLife last; // tried, so that one that can't be written holds up no other
+    boost::system::error_code ignored; // the timer is cancelled when a record is queued
+    TargetIncarnation last; // last one tried; the next is taken after it, so that a record that can't be written doesn't block the others
     for (;;) {
-        m_state.counters.set(m_unwrittenLimits, m_unwritten.size());
-        if (m_unwritten.empty()) {
-            m_wake.expires_at(asio::steady_timer::time_point::max());
-            co_await m_wake.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+        m_state.counters.set(m_pendingRecordCount, m_pendingRecords.size());
+        if (m_pendingRecords.empty()) {
+            m_wakeTimer.expires_at(asio::steady_timer::time_point::max());
+            co_await m_wakeTimer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
             continue;
         }
-        const auto next = m_unwritten.upper_bound(last);
-        const TargetLife life = next == m_unwritten.end() ? *m_unwritten.begin() : *next;
-        last = life;
-        const std::error_code error = co_await write(life);
-        if (m_writable == static_cast<bool>(error)) {
-            m_writable = !error;
-            logChange("limit-record-written", {{"done", error ? "false" : "true"}, {"error", error ? error.message() : ""}, {"target", life.id}});
+        const auto next = m_pendingRecords.upper_bound(last);
+        const TargetIncarnation incarnation = next == m_pendingRecords.end() ? *m_pendingRecords.begin() : *next;
+        last = incarnation;
+        const std::error_code error = co_await synchronizeRecord(incarnation);
+        if (m_lastWriteSucceeded == static_cast<bool>(error)) {
+            m_lastWriteSucceeded = !error;
+            logChange("limit-record-written", {{"done", error ? "false" : "true"}, {"error", error ? error.message() : ""}, {"target", incarnation.id}});
         }
-        const NamedLimit *known = m_state.signals.limits.find(life);
-        const auto recorded = m_recorded.find(life);
-        const bool same = known == nullptr ? recorded == m_recorded.end() : recorded != m_recorded.end() && recorded->second == known->perSecond;
-        if (same) {
-            m_unwritten.erase(life);
+        const RunnerLimit *current = m_state.signals.limits.find(incarnation);
+        const auto stored = m_storedLimits.find(incarnation);
+        const bool upToDate = current == nullptr ? stored == m_storedLimits.end() : stored != m_storedLimits.end() && stored->second == current->perSecond;
+        if (upToDate) {
+            m_pendingRecords.erase(incarnation);
         }
-        co_await sleep(error ? kStoreRetry : m_state.sharedWritePause());
+        co_await sleep(error ? kStoreRetry : m_state.sharedWriteInterval());
     }
 }
 
--- a/fulmarlink/runnerlimits.cpp
+++ b/fulmarlink/runnerlimits.cpp
@@ -22,58 +22,58 @@
     return "none";
 }
 
-LimitChange RunnerLimits::answered(const TargetLife &life, const LimitEvidence &evidence)
+LimitChange RunnerLimits::applyAnswer(const TargetIncarnation &incarnation, const LimitObservation &observation)
 {
-    const auto it = m_limits.find(life);
+    const auto it = m_limits.find(incarnation);
     if (it == m_limits.end()) {
-        return evidence.perSecond ? told(life, *evidence.perSecond, evidence.attempt, evidence.now) : LimitChange::None;
+        return observation.perSecond ? applyRecord(incarnation, *observation.perSecond, observation.attempt, observation.now) : LimitChange::None;
     }
-    const bool later = evidence.sent > it->second.proved || mutated(Mutation::EndLimitByOldAnswer);
-    if (!evidence.perSecond) {
-        return later ? ended(life) : LimitChange::None;
+    const bool sentAfterConfirmation = observation.sent > it->second.confirmedAt || mutated(Mutation::EndLimitByOldAnswer);
+    if (!observation.perSecond) {
+        return sentAfterConfirmation ? remove(incarnation) : LimitChange::None;
     }
-    if (*evidence.perSecond > it->second.perSecond && !later) {
+    if (*observation.perSecond > it->second.perSecond && !sentAfterConfirmation) {
         return LimitChange::None;
     }
-    return told(life, *evidence.perSecond, evidence.attempt, evidence.now);
+    return applyRecord(incarnation, *observation.perSecond, observation.attempt, observation.now);
 }
 
-LimitChange RunnerLimits::told(const TargetLife &life, double perSecond, const std::string &host, TimePoint now)
+LimitChange RunnerLimits::applyRecord(const TargetIncarnation &incarnation, double perSecond, const std::string &source, TimePoint now)
 {
-    const auto it = m_limits.find(life);
+    const auto it = m_limits.find(incarnation);
     if (it == m_limits.end()) {
         if (m_limits.size() >= kMaxLimits) {
             return LimitChange::None;
         }
-        m_limits.emplace(life, NamedLimit{perSecond, now, now, host});
+        m_limits.emplace(incarnation, RunnerLimit{perSecond, now, now, source});
         return LimitChange::Named;
     }
-    NamedLimit &limit = it->second;
-    limit.proved = now;
+    RunnerLimit &limit = it->second;
+    limit.confirmedAt = now;
     if (limit.perSecond == perSecond) {
         return LimitChange::None;
     }
     limit.perSecond = perSecond;
-    limit.source = host;
+    limit.source = source;
     return LimitChange::Changed;
 }
 
-LimitChange RunnerLimits::ended(const TargetLife &life)
+LimitChange RunnerLimits::remove(const TargetIncarnation &incarnation)
 {
-    return m_limits.erase(life) > 0 ? LimitChange::Ended : LimitChange::None;
+    return m_limits.erase(incarnation) > 0 ? LimitChange::Ended : LimitChange::None;
 }
 
-const NamedLimit *RunnerLimits::find(const TargetLife &life) const
+const RunnerLimit *RunnerLimits::find(const TargetIncarnation &incarnation) const
 {
-    const auto it = m_limits.find(life);
+    const auto it = m_limits.find(incarnation);
     return it == m_limits.end() ? nullptr : &it->second;
 }
 
-std::vector<TargetLife> RunnerLimits::lives() const
+std::vector<TargetIncarnation> RunnerLimits::incarnations() const
 {
-    std::vector<TargetLife> result;
-    for (const auto &[life, limit] : m_limits) {
-        result.push_back(life);
+    std::vector<TargetIncarnation> result;
+    for (const auto &[incarnation, limit] : m_limits) {
+        result.push_back(incarnation);
     }
     return result;
 }
--- a/fulmarlink/runnersignals.cpp
+++ b/fulmarlink/runnersignals.cpp
@@ -7,144 +7,144 @@
 namespace fulmarlink
 {
 
-std::string_view runnerObstacleName(RunnerObstacle obstacle)
+std::string_view runnerExclusionName(RunnerExclusion exclusion)
 {
-    switch (obstacle) {
-    case RunnerObstacle::None:
+    switch (exclusion) {
+    case RunnerExclusion::None:
         return "none";
-    case RunnerObstacle::Leaving:
+    case RunnerExclusion::Leaving:
         return "leaving";
-    case RunnerObstacle::BackingOff:
+    case RunnerExclusion::BackingOff:
         return "backing-off";
-    case RunnerObstacle::SlowStart:
+    case RunnerExclusion::SlowStart:
         return "slow-start";
-    case RunnerObstacle::Limited:
+    case RunnerExclusion::RateLimited:
         return "limited";
     }
     return "none";
 }
 
-/** Null if there are too many. */
-RunnerSignals::Signal *RunnerSignals::add(const TargetLife &life)
+/** Returns null if the incarnation is not tracked yet and kMaxIncarnations others are. */
+RunnerSignals::Signal *RunnerSignals::findOrAdd(const TargetIncarnation &incarnation)
 {
-    if (m_signals.size() >= kMaxLives && !m_signals.contains(life)) {
+    if (m_signals.size() >= kMaxIncarnations && !m_signals.contains(incarnation)) {
         return nullptr;
     }
-    return &m_signals[life];
+    return &m_signals[incarnation];
 }
 
-bool RunnerSignals::backOff(const TargetLife &life, Duration asked, Duration spread, const std::string &attempt, TimePoint now)
+bool RunnerSignals::recordBackoff(const TargetIncarnation &incarnation, Duration duration, Duration spread, const std::string &source, TimePoint now)
 {
-    Signal *signal = add(life);
+    Signal *signal = findOrAdd(incarnation);
     if (signal == nullptr) {
         return false;
     }
-    if (!signal->requested) {
+    if (!signal->hasRequest) {
         signal->request = BackoffRequest();
         signal->request.since = now;
-        signal->requested = true;
+        signal->hasRequest = true;
     }
-    ++signal->request.refused;
-    const bool extended = signal->backoff.extend(now + asked + spread);
+    ++signal->request.refusedAttempts;
+    const bool extended = signal->backoff.extend(now + duration + spread);
     if (extended) {
-        signal->request.asked = asked;
-        signal->request.source = attempt;
+        signal->request.duration = duration;
+        signal->request.source = source;
     }
     return extended;
 }
 
-void RunnerSignals::accepted(const TargetLife &life, TimePoint sent, unsigned slots)
+void RunnerSignals::recordAccepted(const TargetIncarnation &incarnation, TimePoint sent, unsigned slots)
 {
-    const auto it = m_signals.find(life);
+    const auto it = m_signals.find(incarnation);
     if (it != m_signals.end()) {
-        it->second.backoff.accepted(sent, slots);
+        it->second.backoff.recordAccepted(sent, slots);
     }
 }
 
-bool RunnerSignals::leaving(const TargetLife &life)
+bool RunnerSignals::markLeaving(const TargetIncarnation &incarnation)
 {
-    Signal *signal = add(life);
-    const bool news = signal != nullptr && !signal->leaving;
-    if (news) {
+    Signal *signal = findOrAdd(incarnation);
+    const bool isNew = signal != nullptr && !signal->leaving;
+    if (isNew) {
         signal->leaving = true;
     }
-    return news;
+    return isNew;
 }
 
-void RunnerSignals::forget(const TargetLife &life)
+void RunnerSignals::forget(const TargetIncarnation &incarnation)
 {
-    m_signals.erase(life);
+    m_signals.erase(incarnation);
 }
 
-RunnerObstacle RunnerSignals::obstacle(const TargetLife &life, unsigned open, TimePoint now) const
+RunnerExclusion RunnerSignals::exclusion(const TargetIncarnation &incarnation, unsigned inFlight, TimePoint now) const
 {
-    const auto it = m_signals.find(life);
+    const auto it = m_signals.find(incarnation);
     if (it != m_signals.end()) {
         if (it->second.leaving && !mutated(Mutation::IgnoreLeavingAnswer)) {
-            return RunnerObstacle::Leaving;
+            return RunnerExclusion::Leaving;
         }
-        if (!it->second.backoff.mayOpen(open, now) && !mutated(Mutation::IgnoreBackoff)) {
-            return it->second.backoff.backsOff(now) ? RunnerObstacle::BackingOff : RunnerObstacle::SlowStart;
+        if (!it->second.backoff.maySend(inFlight, now) && !mutated(Mutation::IgnoreBackoff)) {
+            return it->second.backoff.isBackingOff(now) ? RunnerExclusion::BackingOff : RunnerExclusion::SlowStart;
         }
     }
-    return !pacer.any() || pacer.hasRoom(life, now) ? RunnerObstacle::None : RunnerObstacle::Limited;
+    return !pacer.hasLimits() || pacer.canSend(incarnation, now) ? RunnerExclusion::None : RunnerExclusion::RateLimited;
 }
 
-RunnerObstacle RunnerSignals::take(const TargetLife &life, unsigned open, TimePoint now)
+RunnerExclusion RunnerSignals::reserveSend(const TargetIncarnation &incarnation, unsigned inFlight, TimePoint now)
 {
-    const RunnerObstacle found = obstacle(life, open, now);
-    if (found != RunnerObstacle::None) {
-        return found;
+    const RunnerExclusion reason = exclusion(incarnation, inFlight, now);
+    if (reason != RunnerExclusion::None) {
+        return reason;
     }
-    return pacer.take(life, now) ? RunnerObstacle::None : RunnerObstacle::Limited;
+    return pacer.tryAcquire(incarnation, now) ? RunnerExclusion::None : RunnerExclusion::RateLimited;
 }
 
-std::optional<TimePoint> RunnerSignals::nextRoom(const TargetLife &life, TimePoint now) const
+std::optional<TimePoint> RunnerSignals::nextSendTime(const TargetIncarnation &incarnation, TimePoint now) const
 {
-    const auto it = m_signals.find(life);
+    const auto it = m_signals.find(incarnation);
     if (it != m_signals.end() && it->second.leaving) {
         return std::nullopt;
     }
-    const std::optional<TimePoint> limited = pacer.nextRoom(life, now);
+    const std::optional<TimePoint> limited = pacer.nextSendTime(incarnation, now);
     if (!limited || it == m_signals.end()) {
         return limited;
     }
     return std::max(*limited, it->second.backoff.until());
 }
 
-bool RunnerSignals::isLeaving(const TargetLife &life) const
+bool RunnerSignals::isLeaving(const TargetIncarnation &incarnation) const
 {
-    const auto it = m_signals.find(life);
+    const auto it = m_signals.find(incarnation);
     return it != m_signals.end() && it->second.leaving;
 }
 
-bool RunnerSignals::inSlowStart(const TargetLife &life, TimePoint now) const
+bool RunnerSignals::inSlowStart(const TargetIncarnation &incarnation, TimePoint now) const
 {
-    const auto it = m_signals.find(life);
-    return it != m_signals.end() && it->second.backoff.active() && !it->second.backoff.backsOff(now);
+    const auto it = m_signals.find(incarnation);
+    return it != m_signals.end() && it->second.backoff.active() && !it->second.backoff.isBackingOff(now);
 }
 
-const BackoffRequest *RunnerSignals::backoff(const TargetLife &life) const
+const BackoffRequest *RunnerSignals::activeBackoff(const TargetIncarnation &incarnation) const
 {
-    const auto it = m_signals.find(life);
-    return it == m_signals.end() || !it->second.requested ? nullptr : &it->second.request;
+    const auto it = m_signals.find(incarnation);
+    return it == m_signals.end() || !it->second.hasRequest ? nullptr : &it->second.request;
 }
 
-std::size_t RunnerSignals::backingOff(TimePoint now) const
+std::size_t RunnerSignals::backingOffCount(TimePoint now) const
 {
     return static_cast<std::size_t>(std::ranges::count_if(m_signals, [now](const auto &entry) {
-        return entry.second.backoff.backsOff(now);
+        return entry.second.backoff.isBackingOff(now);
     }));
 }
 
-std::map<TargetLife, BackoffRequest> RunnerSignals::takeEnded(TimePoint now)
+std::map<TargetIncarnation, BackoffRequest> RunnerSignals::takeExpiredBackoffs(TimePoint now)
 {
-    std::map<TargetLife, BackoffRequest> result;
+    std::map<TargetIncarnation, BackoffRequest> result;
     for (auto it = m_signals.begin(); it != m_signals.end();) {
         Signal &signal = it->second;
-        if (signal.requested && !signal.backoff.backsOff(now)) {
+        if (signal.hasRequest && !signal.backoff.isBackingOff(now)) {
             result.emplace(it->first, signal.request);
-            signal.requested = false;
+            signal.hasRequest = false;
         }
         const bool empty = !signal.leaving && !signal.backoff.active();
         it = empty ? m_signals.erase(it) : std::next(it);
@@ -152,11 +152,11 @@
     return result;
 }
 
-std::vector<TargetLife> RunnerSignals::lives() const
+std::vector<TargetIncarnation> RunnerSignals::incarnations() const
 {
-    std::vector<TargetLife> result;
-    for (const auto &[life, signal] : m_signals) {
-        result.push_back(life);
+    std::vector<TargetIncarnation> result;
+    for (const auto &[incarnation, signal] : m_signals) {
+        result.push_back(incarnation);
     }
     return result;
 }
--- a/fulmarlink/targettable.cpp
+++ b/fulmarlink/targettable.cpp
@@ -17,7 +17,7 @@
 TargetChanges TargetTable::setTargets(const std::vector<TargetInfo> &list, TimePoint now)
 {
     TargetChanges changes;
-    const bool afterOutage = m_listedAt && now - *m_listedAt > m_options.outage;
+    const bool afterOutage = m_listedAt && now - *m_listedAt > m_options.outageGap;
     m_listedAt = now;
     std::set<std::string> present;
     for (const TargetInfo &info : list) {
@@ -47,39 +47,39 @@
         if (afterOutage && state.listed && !state.info.leaving && !state.missingSince) {
             state.missingSince = now;
         }
-        const bool lapsed = state.missingSince && now - *state.missingSince < m_options.lapseGrace;
-        if (state.listed && !lapsed) {
+        const bool withinGrace = state.missingSince && now - *state.missingSince < m_options.missingGrace;
+        if (state.listed && !withinGrace) {
             state.listed = false;
             changes.gone.push_back(it->first);
         }
-        it = !state.listed && state.own == 0 ? m_states.erase(it) : std::next(it);
+        it = !state.listed && state.ownInFlight == 0 ? m_states.erase(it) : std::next(it);
     }
     return changes;
 }
 
-/** Nothing that was seen of the runner's earlier life holds for this one; requests that are still open here end by themselves. */
+/** Discards everything observed before the runner restarted. Requests that are still open there end on their own. */
 void TargetTable::restart(State &state)
 {
-    state.others = 0;
-    state.othersAt.reset();
-    state.heardAt = TimePoint{};
+    state.othersInFlight = 0;
+    state.othersReportedAt.reset();
+    state.lastReceivedAt = TimePoint{};
     state.failures = 0;
     state.ejectedUntil = TimePoint{};
     state.group.clear();
-    state.refusals = RefusalHistory();
+    state.refusals = RefusalBackoff();
 }
 
 bool TargetTable::usable(const State &state, TimePoint now) const
 {
-    const bool lapsed = state.missingSince && now - *state.missingSince >= m_options.lapseGrace;
+    const bool graceExpired = state.missingSince && now - *state.missingSince >= m_options.missingGrace;
     const bool listedLeaving = state.info.leaving && !mutated(Mutation::PickLeaving);
-    const bool saidLeaving = m_signals != nullptr && m_signals->isLeaving({state.info.id, state.info.born}) && !mutated(Mutation::IgnoreLeavingAnswer);
-    return state.listed && !listedLeaving && !saidLeaving && !lapsed;
+    const bool announcedLeaving = m_signals != nullptr && m_signals->isLeaving({state.info.id, state.info.born}) && !mutated(Mutation::IgnoreLeavingAnswer);
+    return state.listed && !listedLeaving && !announcedLeaving && !graceExpired;
 }
 
-RunnerObstacle TargetTable::obstacle(const State &state, TimePoint now) const
+RunnerExclusion TargetTable::obstacle(const State &state, TimePoint now) const
 {
-    return m_signals == nullptr ? RunnerObstacle::None : m_signals->obstacle({state.info.id, state.info.born}, state.own, now);
+    return m_signals == nullptr ? RunnerExclusion::None : m_signals->exclusion({state.info.id, state.info.born}, state.ownInFlight, now);
 }
 
 void TargetTable::setSignals(const RunnerSignals *signals)
@@ -94,17 +94,17 @@
         if (state.info.pool != pool || !usable(state, now) || tried.contains(id)) {
             continue;
         }
-        const RunnerObstacle found = obstacle(state, now);
-        if (found == RunnerObstacle::None) {
+        const RunnerExclusion found = obstacle(state, now);
+        if (found == RunnerExclusion::None) {
             ++result.free;
             continue;
         }
-        const TargetLife life{id, state.info.born};
-        const auto next = m_signals->nextRoom(life, now);
-        const bool limited = found == RunnerObstacle::Limited;
+        const TargetIncarnation incarnation{id, state.info.born};
+        const auto next = m_signals->nextSendTime(incarnation, now);
+        const bool limited = found == RunnerExclusion::RateLimited;
         result.limited += limited ? 1 : 0;
         result.backingOff += limited ? 0 : 1;
-        result.limitedPerSecond += limited ? m_signals->pacer.limitOf(life) : 0;
+        result.limitedPerSecond += limited ? m_signals->pacer.limitOf(incarnation) : 0;
         result.slots += limited ? 0 : state.info.slots;
         result.nextRoom = next && (!result.nextRoom || *next < *result.nextRoom) ? next : result.nextRoom;
     }
@@ -114,12 +114,12 @@
 double TargetTable::score(const State &state, TimePoint now) const
 {
     double others = 0;
-    if (state.othersAt) {
-        const double age = std::chrono::duration<double>(now - *state.othersAt) / std::chrono::duration<double>(m_options.loadTrust);
-        others = state.others * std::clamp(2 - age, 0.0, 1.0);
+    if (state.othersReportedAt) {
+        const double age = std::chrono::duration<double>(now - *state.othersReportedAt) / std::chrono::duration<double>(m_options.loadFreshFor);
+        others = state.othersInFlight * std::clamp(2 - age, 0.0, 1.0);
     }
-    const double zone = state.info.zone == m_options.zone ? 0 : kOtherZoneLoad;
-    return (state.own + others + zone) / std::max(1U, state.info.slots);
+    const double zone = state.info.zone == m_options.zone ? 0 : kRemoteZonePenalty;
+    return (state.ownInFlight + others + zone) / std::max(1U, state.info.slots);
 }
 
 std::vector<TargetCandidate> TargetTable::candidates(std::string_view pool, const std::set<std::string> &tried, TimePoint now, Random &random) const
@@ -130,17 +130,18 @@
     };
     std::map<std::string_view, Best> byGroup;
     for (const auto &[id, state] : m_states) {
-        if (state.info.pool != pool || !usable(state, now) || tried.contains(id) || obstacle(state, now) != RunnerObstacle::None) {
+        if (state.info.pool != pool || !usable(state, now) || tried.contains(id) || obstacle(state, now) != RunnerExclusion::None) {
             continue;
         }
         Best &best = byGroup[state.group];
         ++best.candidate.runners;
-        // A request that was refused before goes to runners that are known to take work.
+        // A retried request avoids runners that are in slow start or that recently refused more requests than they took.
         const bool slowStart = m_signals != nullptr && m_signals->inSlowStart({id, state.info.born}, now);
-        const bool onProbation = !tried.empty() && (slowStart || state.refusals.doubtful());
-        const bool passedOver = state.ejectedUntil > now || state.refusals.passedOver(now) || onProbation || (state.slow && !mutated(Mutation::SendToSlow));
-        const std::pair key(passedOver, score(state, now));
-        const std::pair bestKey(best.candidate.passedOver, best.candidate.load);
+        const bool onProbation = !tried.empty() && (slowStart || state.refusals.hasRecentRefusals());
+        const bool deprioritized
+            = state.ejectedUntil > now || state.refusals.isBackingOff(now) || onProbation || (state.slow && !mutated(Mutation::SendToSlow));
+        const std::pair key(deprioritized, score(state, now));
+        const std::pair bestKey(best.candidate.deprioritized, best.candidate.load);
         if (best.ties > 0 && key > bestKey) {
             continue;
         }
@@ -149,7 +150,7 @@
             continue;
         }
         best.candidate.target = &state.info;
-        best.candidate.passedOver = key.first;
+        best.candidate.deprioritized = key.first;
         best.candidate.load = key.second;
     }
     std::vector<TargetCandidate> result;
@@ -164,7 +165,7 @@
 {
     const std::vector<TargetCandidate> all = candidates(pool, tried, now, random);
     const auto best = std::ranges::min_element(all, {}, [](const TargetCandidate &candidate) {
-        return std::pair(candidate.passedOver, candidate.load);
+        return std::pair(candidate.deprioritized, candidate.load);
     });
     return best == all.end() ? nullptr : best->target;
 }
@@ -175,28 +176,28 @@
     return it == m_states.end() || !it->second.listed ? nullptr : &it->second.info;
 }
 
-bool TargetTable::mayTake(const std::string &id, TimePoint now) const
+bool TargetTable::isUsable(const std::string &id, TimePoint now) const
 {
     const auto it = m_states.find(id);
     return it != m_states.end() && usable(it->second, now);
 }
 
-void TargetTable::sent(const std::string &id)
+void TargetTable::requestSent(const std::string &id)
 {
     const auto it = m_states.find(id);
     if (it != m_states.end()) {
-        ++it->second.own;
+        ++it->second.ownInFlight;
     }
 }
 
-void TargetTable::ended(const std::string &id)
+void TargetTable::requestEnded(const std::string &id)
 {
     const auto it = m_states.find(id);
-    if (it == m_states.end() || it->second.own == 0) {
+    if (it == m_states.end() || it->second.ownInFlight == 0) {
         return;
     }
-    --it->second.own;
-    if (!it->second.listed && it->second.own == 0) {
+    --it->second.ownInFlight;
+    if (!it->second.listed && it->second.ownInFlight == 0) {
         m_states.erase(it);
     }
 }
@@ -208,25 +209,25 @@
         return;
     }
     const unsigned total = load.running + load.waiting;
-    it->second.others = total > it->second.own ? total - it->second.own : 0;
-    it->second.othersAt = now;
+    it->second.othersInFlight = total > it->second.ownInFlight ? total - it->second.ownInFlight : 0;
+    it->second.othersReportedAt = now;
 }
 
-void TargetTable::heard(const std::string &id, TimePoint now)
+void TargetTable::dataReceived(const std::string &id, TimePoint now)
 {
     const auto it = m_states.find(id);
     if (it != m_states.end()) {
-        it->second.heardAt = now;
+        it->second.lastReceivedAt = now;
     }
 }
 
-TimePoint TargetTable::lastHeard(const std::string &id) const
+TimePoint TargetTable::lastReceived(const std::string &id) const
 {
     const auto it = m_states.find(id);
-    return it == m_states.end() ? TimePoint{} : it->second.heardAt;
+    return it == m_states.end() ? TimePoint{} : it->second.lastReceivedAt;
 }
 
-void TargetTable::succeeded(const std::string &id)
+void TargetTable::requestSucceeded(const std::string &id)
 {
     const auto it = m_states.find(id);
     if (it != m_states.end()) {
@@ -235,7 +236,7 @@
     }
 }
 
-bool TargetTable::failed(const std::string &id, TimePoint now)
+bool TargetTable::requestFailed(const std::string &id, TimePoint now)
 {
     const auto it = m_states.find(id);
     if (it == m_states.end() || ++it->second.failures < kFailuresToEject) {
@@ -245,21 +246,21 @@
     return true;
 }
 
-bool TargetTable::refused(const std::string &id, const std::optional<TargetLoad> &load, TimePoint now)
+bool TargetTable::requestRefused(const std::string &id, const std::optional<TargetLoad> &load, TimePoint now)
 {
     const auto it = m_states.find(id);
     const bool full = it == m_states.end() || !load || load->waiting > 0 || load->running >= it->second.info.slots;
     if (!full) {
-        it->second.refusals.refused(now);
+        it->second.refusals.recordRefusal(now);
     }
     return !full;
 }
 
-void TargetTable::took(const std::string &id)
+void TargetTable::requestAccepted(const std::string &id)
 {
     const auto it = m_states.find(id);
     if (it != m_states.end()) {
-        it->second.refusals.took();
+        it->second.refusals.recordAccepted();
     }
 }
 
@@ -279,7 +280,7 @@
         return;
     }
     it->second.group = group;
-    it->second.slow = false; // the owner of its new group's map has not said so
+    it->second.slow = false; // only the leader of the new group can mark it as slow
 }
 
 const std::string &TargetTable::groupOf(const std::string &id) const
@@ -311,14 +312,14 @@
 unsigned TargetTable::ownRequests(const std::string &id) const
 {
     const auto it = m_states.find(id);
-    return it == m_states.end() ? 0 : it->second.own;
+    return it == m_states.end() ? 0 : it->second.ownInFlight;
 }
 
 unsigned TargetTable::ownRequests(std::string_view pool, std::string_view group) const
 {
     unsigned total = 0;
     for (const auto &[id, state] : m_states) {
-        total += state.info.pool == pool && state.group == group ? state.own : 0;
+        total += state.info.pool == pool && state.group == group ? state.ownInFlight : 0;
     }
     return total;
 }
--- a/standins/load.cpp
+++ b/standins/load.cpp
@@ -26,11 +26,11 @@
 
 constexpr int kHttp11 = 11;
 constexpr const char *kLoopback = "127.0.0.1";
-constexpr std::chrono::seconds kTryTimeout{30};
+constexpr std::chrono::seconds kAttemptTimeout{30};
 constexpr std::chrono::milliseconds kBackoff{100};
 constexpr unsigned kMaxTokens = 24;
 constexpr unsigned kMaxPromptBytes = 2000;
-constexpr unsigned kPrompts = 20; ///< different prompts; they share prefixes
+constexpr unsigned kPromptBeginnings = 20; ///< distinct beginnings, so that prompts share prefixes
 
 std::string expectedBody(const std::string &serial, unsigned tokens)
 {
@@ -43,8 +43,8 @@
 
 } // namespace
 
-/** The end of one try. */
-struct Load::Try {
+/** Outcome of one attempt. */
+struct Load::Attempt {
     CallerRecord::End end = CallerRecord::End::Lost;
     std::string result; ///< Fulmarlink-Result of a refusal
     double firstByteMs = 0;
@@ -89,7 +89,7 @@
     Random random(m_options.seed * 1'000'003 + index);
     const double kind = std::uniform_real_distribution<double>(0, 1)(random);
     const bool service = kind < m_options.serviceShare;
-    const bool single = !service && kind < m_options.serviceShare + m_options.noteShare;
+    const bool single = !service && kind < m_options.serviceShare + m_options.singleRunShare;
     const std::string serial = "r" + std::to_string(m_options.seed) + '-' + std::to_string(index);
     const unsigned drawn = 1 + static_cast<unsigned>(random() % kMaxTokens);
     const unsigned tokens = service ? 0 : m_options.tokens != 0 ? m_options.tokens : drawn;
@@ -99,7 +99,7 @@
     request.set("X-Serial", serial);
     if (!service) {
         request.set("X-Tokens", std::to_string(tokens));
-        request.body() = "prompt " + std::to_string(random() % kPrompts) + std::string(random() % kMaxPromptBytes, 'x');
+        request.body() = "prompt " + std::to_string(random() % kPromptBeginnings) + std::string(random() % kMaxPromptBytes, 'x');
     }
     if (single) {
         request.set("Idempotency-Key", serial);
@@ -108,8 +108,8 @@
     m_records[index].singleRun = single;
 
     for (unsigned attempt = 0; attempt < m_options.maxTries; ++attempt) {
-        const Try result = co_await send(m_ports[(index + attempt) % m_ports.size()], request, serial, tokens);
-        note(index, result);
+        const Attempt result = co_await send(m_ports[(index + attempt) % m_ports.size()], request, serial, tokens);
+        recordAttempt(index, result);
         const bool again = result.end == End::NotRun || result.end == End::Unknown;
         if (!again) {
             break;
@@ -119,11 +119,11 @@
     }
 }
 
-void Load::note(unsigned index, const Try &result)
+void Load::recordAttempt(unsigned index, const Attempt &result)
 {
     using End = CallerRecord::End;
     CallerRecord &record = m_records[index];
-    // Once unknown, a later "not run" speaks of its own try only.
+    // A "not run" result covers its own attempt only, so it can't settle an earlier unknown outcome.
     record.end = record.end == End::Unknown && result.end == End::NotRun ? End::Unknown : result.end;
     const std::lock_guard lock(m_mutex);
     ++m_report.tries;
@@ -135,15 +135,15 @@
     }
 }
 
-asio::awaitable<Load::Try> Load::send(std::uint16_t port, HttpRequest request, const std::string &serial, unsigned tokens)
+asio::awaitable<Load::Attempt> Load::send(std::uint16_t port, HttpRequest request, const std::string &serial, unsigned tokens)
 {
     using End = CallerRecord::End;
-    Try result;
+    Attempt result;
     boost::system::error_code error;
     auto token = asio::redirect_error(asio::use_awaitable, error);
     const auto begin = std::chrono::steady_clock::now();
     beast::tcp_stream stream(co_await asio::this_coro::executor);
-    stream.expires_after(kTryTimeout);
+    stream.expires_after(kAttemptTimeout);
     co_await stream.async_connect({asio::ip::make_address(kLoopback), port}, token);
     if (error) {
         result.end = End::NotRun;
@@ -158,7 +158,7 @@
     http::response_parser<http::string_body> parser;
     co_await http::async_read_header(stream, buffer, parser, token);
     if (error) {
-        co_return result; // neither an answer nor a code
+        co_return result; // neither a response nor a result code
     }
     result.firstByteMs = std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begin).count();
     co_await http::async_read(stream, buffer, parser, token);
@@ -170,15 +170,15 @@
         co_return result;
     }
     if (error) {
-        result.end = End::Unknown; // broken off, and the caller can tell
+        result.end = End::Unknown; // the response was truncated, which the caller can detect
         result.result = "broken off";
         co_return result;
     }
     if (response["X-Serial"] != serial) {
-        result.end = End::Crossed;
+        result.end = End::Misdelivered;
         co_return result;
     }
-    result.end = tokens > 0 && response.body() != expectedBody(serial, tokens) ? End::CutShort : End::Answered;
+    result.end = tokens > 0 && response.body() != expectedBody(serial, tokens) ? End::WrongBody : End::Answered;
     co_return result;
 }
 
@@ -205,10 +205,10 @@
         report.notRun += record.end == End::NotRun ? 1 : 0;
         report.unknown += record.end == End::Unknown ? 1 : 0;
         report.lost += record.end == End::Lost || record.end == End::Pending ? 1 : 0;
-        report.crossed += record.end == End::Crossed ? 1 : 0;
-        report.cutShort += record.end == End::CutShort ? 1 : 0;
+        report.misdelivered += record.end == End::Misdelivered ? 1 : 0;
+        report.wrongBody += record.end == End::WrongBody ? 1 : 0;
         report.falseNotRun += record.end == End::NotRun && runs > 0 ? 1 : 0;
-        report.doubled += record.singleRun && runs > 1 ? 1 : 0;
+        report.duplicateRuns += record.singleRun && runs > 1 ? 1 : 0;
     }
     return report;
 }
--- a/testing/crashingrequest_test.cpp
+++ b/testing/crashingrequest_test.cpp
@@ -1,15 +1,12 @@
 // A request that crashes each runner that begins it, repeated by its caller at one host after
 // the other.
 //
-// Seen: three runners of a rank group ended within 35 ms, and one more each time the group took
-// work again, each time with one customer's request in progress that had begun a moment before;
-// seven runners ended under one request, and every stream of the pool with them. How it came
-// about: an attempt whose runner ended was sent on to the next runner, and each repeat of its
-// caller reached a host that knew nothing of the earlier ones. Cause: what a host learns from a
-// runner's end stayed in the attempt; nothing tied attempts of one request together, neither on
-// one host nor over all. Proved by these tests: with runners that end under one request only,
-// whatever else happens, the same request goes on to end them one by one. What counts is what the
-// runners saw.
+// Guards against one request crashing one runner after the other: three runners of a rank group
+// crashed within 35 ms, and another each time the group accepted work again, always just after one
+// customer's request had begun; one request crashed seven runners, and every stream of the pool was
+// lost with them. The attempt was retried on the next runner, and each repeat by the caller reached
+// a host that knew nothing of the earlier crashes, because nothing tied attempts at one request
+// together, on one host or across hosts. The tests count the requests that reached the runners.
 
 #include <boost/json/parse.hpp>
 #include <gtest/gtest.h>
@@ -24,8 +21,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kKnownEverywhere = 1000ms; ///< from the third runner's end; a third of the time in which the platform wants it known
-constexpr std::size_t kMostCrashes = 3; ///< what one request may end, copies that were in progress at once apart
+constexpr auto kPropagationTime = 1000ms; ///< from the third crash until all hosts know it; a third of what the platform allows
+constexpr std::size_t kMostCrashes = 3; ///< runners that one request may crash, not counting copies that were in progress at the same time
 
 struct Case {
     const char *name;
@@ -69,51 +66,51 @@
 
 } // namespace
 
-TEST_P(CrashingRequest, RepeatsOneAfterTheOtherReachNoFourthRunner)
+TEST_P(CrashingRequest, SequentialRepeatsReachAtMostThreeRunners)
 {
     GatewayFleet fleet(options());
     ASSERT_TRUE(fleet.start());
     const std::string path = GetParam().path;
     for (unsigned repeat = 0; repeat < 12; ++repeat) {
-        ASSERT_TRUE(fleet.runUntilUp(4));
+        ASSERT_TRUE(fleet.runUntilRunning(4));
         const HttpRequest request = fleet.request(path);
         const Answer answer = fleet.ask(repeat % GetParam().gateways, request);
-        const bool saidNotRun = answer.status == 503 || answer.status == 429;
-        EXPECT_FALSE(saidNotRun && fleet.ran(std::string(request["Attempt-Id"])));
-        fleet.run(200ms);
+        const bool reportedNotRun = answer.status == 503 || answer.status == 429;
+        EXPECT_FALSE(reportedNotRun && fleet.attemptRan(std::string(request["Attempt-Id"])));
+        fleet.runFor(200ms);
     }
-    EXPECT_LE(fleet.crashes(path), kMostCrashes);
-    EXPECT_LE(fleet.arrivals(path), kMostCrashes);
+    EXPECT_LE(fleet.crashCount(path), kMostCrashes);
+    EXPECT_LE(fleet.arrivalCount(path), kMostCrashes);
 }
 
-TEST_P(CrashingRequest, RepeatsAtAllHostsAtOnceReachNoRunnerOnceThreeHaveEnded)
+TEST_P(CrashingRequest, ConcurrentRepeatsReachNoRunnerAfterThreeCrashes)
 {
     GatewayFleet fleet(options());
     ASSERT_TRUE(fleet.start());
     const std::string path = GetParam().path;
     for (unsigned round = 0; round < 8; ++round) {
-        ASSERT_TRUE(fleet.runUntilUp(4));
+        ASSERT_TRUE(fleet.runUntilRunning(4));
         for (unsigned gateway = 0; gateway < GetParam().gateways; ++gateway) {
             fleet.send(gateway, fleet.request(path));
         }
-        fleet.run(400ms);
+        fleet.runFor(400ms);
     }
-    ASSERT_GE(fleet.crashes(path), 1U);
-    if (fleet.crashes(path) >= kMostCrashes) {
-        EXPECT_EQ(fleet.arrivals(path, fleet.crashedAt(path, kMostCrashes) + kKnownEverywhere), 0U);
+    ASSERT_GE(fleet.crashCount(path), 1U);
+    if (fleet.crashCount(path) >= kMostCrashes) {
+        EXPECT_EQ(fleet.arrivalCount(path, fleet.crashTime(path, kMostCrashes) + kPropagationTime), 0U);
     }
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleet, CrashingRequest, kCases, caseName);
 
-TEST(CrashingRequestStore, AStoreThatAnswersHeldOpenCallsAtOnceIsNotAskedAtOnceAgain)
+TEST(CrashingRequestStore, StoreThatAnswersLongPollsAtOnceIsNotPolledInATightLoop)
 {
     GatewayFleet fleet({.gateways = 1, .runners = 1});
-    fleet.store.faults.hasty = true;
+    fleet.store.faults.watchesReturnEarly = true;
     ASSERT_TRUE(fleet.start());
-    fleet.run(1500ms);
+    fleet.runFor(1500ms);
     const unsigned before = fleet.store.calls;
-    fleet.run(2000ms);
+    fleet.runFor(2000ms);
     EXPECT_LE(fleet.store.calls - before, 40U);
 }
 
@@ -122,17 +119,17 @@
 
 constexpr const char *kStream = "/stream/crash";
 
-/** Repeats one after the other, each at another gateway, until @p repeats have been made. */
-void repeat(GatewayFleet &fleet, unsigned repeats, unsigned gateways, const std::string &path = kStream)
+/** Sends the request @p repeats times, one after the other, to the @p gateways first gateways in turn. */
+void sendRepeats(GatewayFleet &fleet, unsigned repeats, unsigned gateways, const std::string &path = kStream)
 {
     for (unsigned i = 0; i < repeats; ++i) {
-        ASSERT_TRUE(fleet.runUntilUp(4));
+        ASSERT_TRUE(fleet.runUntilRunning(4));
         fleet.ask(i % gateways, fleet.request(path));
-        fleet.run(200ms);
+        fleet.runFor(200ms);
     }
 }
 
-std::string cleared(const GatewayFleet &fleet)
+std::string clearedRecordNames(const GatewayFleet &fleet)
 {
     std::string result;
     for (const std::string &name : fleet.store.names("fulmarlink-crashes")) {
@@ -143,11 +140,11 @@
 
 } // namespace
 
-TEST(CrashingRequestAnswers, ARepeatIsRefusedAtOnceTrulyAndWithoutAnInvitation)
+TEST(CrashingRequestAnswers, BannedRepeatIsRefusedAtOnceAsNotRunWithALongRetryAfter)
 {
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
-    repeat(fleet, 3, 5);
+    sendRepeats(fleet, 3, 5);
     const auto began = std::chrono::steady_clock::now();
     const HttpRequest request = fleet.request(kStream);
     const Answer answer = fleet.ask(4, request);
@@ -156,142 +153,142 @@
     EXPECT_TRUE(answer.whole);
     EXPECT_EQ(answer["Fulmarlink-Result"], "135 request-ends-runners");
     EXPECT_GT(std::stod(answer["Retry-After"]), 60.0);
-    EXPECT_FALSE(fleet.ran(std::string(request["Attempt-Id"])));
-    EXPECT_EQ(fleet.count("fulmarlink_requests_held_back"), 5U) << "one on each host";
+    EXPECT_FALSE(fleet.attemptRan(std::string(request["Attempt-Id"])));
+    EXPECT_EQ(fleet.counterSum("fulmarlink_requests_held_back"), 5U) << "one on each host";
 }
 
-TEST(CrashingRequestAnswers, TheAttemptWhoseRunnerEndedIsToldSoAndNotSentOn)
+TEST(CrashingRequestAnswers, AttemptOnACrashedRunnerReportsItAndIsNotRetried)
 {
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
     const Answer answer = fleet.ask(0, fleet.request("/again/crash"));
     EXPECT_EQ(answer.status, 502U);
     EXPECT_EQ(answer["Fulmarlink-Result"], "214 runner-ended");
-    EXPECT_EQ(fleet.arrivals("/again/crash"), 1U);
+    EXPECT_EQ(fleet.arrivalCount("/again/crash"), 1U);
 }
 
-TEST(CrashingRequestKey, OtherPathsBodiesAndCustomersAreNotHeldBack)
+TEST(CrashingRequestKey, RequestsOfOtherPathsBodiesOrCustomersAreNotHeldBack)
 {
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
-    repeat(fleet, 4, 5);
-    ASSERT_LE(fleet.crashes(kStream), kMostCrashes);
-    ASSERT_TRUE(fleet.runUntilUp(6));
-    const std::size_t before = fleet.arrivals(kStream);
+    sendRepeats(fleet, 4, 5);
+    ASSERT_LE(fleet.crashCount(kStream), kMostCrashes);
+    ASSERT_TRUE(fleet.runUntilRunning(6));
+    const std::size_t before = fleet.arrivalCount(kStream);
     fleet.ask(0, fleet.request(kStream, "another body"));
-    EXPECT_EQ(fleet.arrivals(kStream), before + 1) << "it has another body";
-    ASSERT_TRUE(fleet.runUntilUp(4));
+    EXPECT_EQ(fleet.arrivalCount(kStream), before + 1) << "a different body is a different request";
+    ASSERT_TRUE(fleet.runUntilRunning(4));
     fleet.ask(1, fleet.request(kStream, "text", "other-key"));
-    EXPECT_EQ(fleet.arrivals(kStream), before + 2) << "it is another customer's";
+    EXPECT_EQ(fleet.arrivalCount(kStream), before + 2) << "another customer's request is a different request";
     EXPECT_EQ(fleet.ask(2, fleet.request("/stream/fine")).status, 200U);
     EXPECT_EQ(fleet.ask(3, fleet.request("/again/fine")).status, 200U);
 }
 
-TEST(CrashingRequestLoad, TwoOfThemAtTheSameTimeAreBothHeldBack)
+TEST(CrashingRequestLoad, TwoConcurrentCrashingRequestsAreBothHeldBack)
 {
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
     for (unsigned i = 0; i < 10; ++i) {
-        ASSERT_TRUE(fleet.runUntilUp(4));
+        ASSERT_TRUE(fleet.runUntilRunning(4));
         fleet.send(i % 5, fleet.request("/stream/crash-1"));
         fleet.send((i + 2) % 5, fleet.request("/again/crash-2"));
-        fleet.run(300ms);
+        fleet.runFor(300ms);
     }
-    EXPECT_LE(fleet.arrivals("/stream/crash-1"), kMostCrashes);
-    EXPECT_LE(fleet.arrivals("/again/crash-2"), kMostCrashes);
+    EXPECT_LE(fleet.arrivalCount("/stream/crash-1"), kMostCrashes);
+    EXPECT_LE(fleet.arrivalCount("/again/crash-2"), kMostCrashes);
 }
 
-// The load: callers ask for their status in the same words all the time, and runners end for causes of their own.
-TEST(CrashingRequestLoad, AWaveOfEndsWithAnotherCauseHoldsNobodyBack)
+// Callers keep sending the same status request while runners crash for other reasons.
+TEST(CrashingRequestLoad, UnrelatedCrashesHoldNoRequestBack)
 {
-    GatewayFleet fleet({.runners = 8, .work = 10ms});
+    GatewayFleet fleet({.runners = 8, .workTime = 10ms});
     ASSERT_TRUE(fleet.start());
     unsigned sent = 0;
     for (unsigned round = 0; round < 12; ++round) {
-        ASSERT_TRUE(fleet.runUntilUp(6));
+        ASSERT_TRUE(fleet.runUntilRunning(6));
         for (unsigned i = 0; i < 20; ++i) {
             fleet.send(i % 5, fleet.request("/again/status"));
             fleet.send(i % 5, fleet.request("/stream/own", "body " + std::to_string(++sent)));
         }
-        fleet.run(8ms);
+        fleet.runFor(8ms);
         fleet.crashRunner(round % 8);
         fleet.crashRunner((round + 3) % 8);
-        fleet.run(250ms);
-        EXPECT_EQ(fleet.count("fulmarlink_requests_held_back"), 0U) << cleared(fleet);
+        fleet.runFor(250ms);
+        EXPECT_EQ(fleet.counterSum("fulmarlink_requests_held_back"), 0U) << clearedRecordNames(fleet);
     }
-    EXPECT_GT(fleet.count("fulmarlink_runners_ended_total"), 10U);
-    ASSERT_TRUE(fleet.runUntilUp(8));
+    EXPECT_GT(fleet.counterSum("fulmarlink_runners_ended_total"), 10U);
+    ASSERT_TRUE(fleet.runUntilRunning(8));
     for (unsigned gateway = 0; gateway < 5; ++gateway) {
         EXPECT_EQ(fleet.ask(gateway, fleet.request("/again/status")).status, 200U);
     }
 }
 
-// The load: the last packets of a runner that ended are lost, so that other attempts there seem to go on.
-TEST(CrashingRequestLoad, AnEndOfWhichOtherAttemptsDoNotHearIsNoticed)
+// The last packets of a crashed runner are lost, so other attempts on it still look in progress.
+TEST(CrashingRequestLoad, CrashIsDetectedWhenOtherConnectionsSeeNoReset)
 {
-    GatewayFleet fleet({.runners = 8, .sameId = false, .back = 1500ms, .lossy = true, .work = 60ms});
+    GatewayFleet fleet({.runners = 8, .sameId = false, .restartDelay = 1500ms, .silentCrash = true, .workTime = 60ms});
     ASSERT_TRUE(fleet.start());
     for (unsigned i = 0; i < 8; ++i) {
-        ASSERT_TRUE(fleet.runUntilUp(6));
+        ASSERT_TRUE(fleet.runUntilRunning(6));
         for (unsigned j = 0; j < 16; ++j) {
             fleet.send(0, fleet.request("/stream/own", std::to_string(100 * i + j)));
         }
-        fleet.run(20ms);
+        fleet.runFor(20ms);
         fleet.ask(0, fleet.request(kStream));
-        fleet.run(800ms);
+        fleet.runFor(800ms);
     }
-    EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
+    EXPECT_LE(fleet.arrivalCount(kStream), kMostCrashes);
 }
 
-TEST(CrashingRequestLoad, AResetConnectionIsNoRunnersEnd)
+TEST(CrashingRequestLoad, ResetConnectionDoesNotCountAsCrash)
 {
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
     for (unsigned i = 0; i < 6; ++i) {
         EXPECT_EQ(fleet.ask(i % 5, fleet.request("/again/reset")).status, 200U);
     }
-    EXPECT_EQ(fleet.count("fulmarlink_runners_ended_total"), 0U);
-    EXPECT_EQ(fleet.store.names("fulmarlink-crashes").size(), 0U) << "nothing is written while runners live";
+    EXPECT_EQ(fleet.counterSum("fulmarlink_runners_ended_total"), 0U);
+    EXPECT_EQ(fleet.store.names("fulmarlink-crashes").size(), 0U) << "nothing is written unless a runner ends";
 }
 
-TEST(CrashingRequestHosts, AHostThatStartsReadsWhatStandsBeforeItServes)
+TEST(CrashingRequestHosts, StartingHostReadsTheRecordsBeforeItServes)
 {
     GatewayFleet fleet({.gateways = 3});
     ASSERT_TRUE(fleet.start());
     for (unsigned i = 0; i < 9; ++i) {
-        ASSERT_TRUE(fleet.runUntilUp(4));
+        ASSERT_TRUE(fleet.runUntilRunning(4));
         fleet.ask(i % 3, fleet.request(kStream));
-        fleet.run(250ms);
+        fleet.runFor(250ms);
         fleet.killGateway(i % 3);
-        fleet.run(50ms);
+        fleet.runFor(50ms);
         fleet.startGateway(i % 3);
-        fleet.run(300ms);
+        fleet.runFor(300ms);
     }
-    EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
+    EXPECT_LE(fleet.arrivalCount(kStream), kMostCrashes);
 }
 
-TEST(CrashingRequestHosts, OneHostAloneTriesItAfterTheHoldAndItsCallerTimesDecideNothing)
+TEST(CrashingRequestHosts, OneHostRunsOneTrialAfterTheHoldTimeWhateverTheArrivals)
 {
-    GatewayFleet fleet({.runners = 8, .hold = 1000ms});
+    GatewayFleet fleet({.runners = 8, .holdTime = 1000ms});
     ASSERT_TRUE(fleet.start());
-    repeat(fleet, 2, 2);
-    ASSERT_EQ(fleet.crashes(kStream), 2U);
-    ASSERT_TRUE(fleet.runUntilUp(8));
-    fleet.run(1000ms);
-    for (unsigned i = 0; i < 20; ++i) { // all hosts at once, again and again
+    sendRepeats(fleet, 2, 2);
+    ASSERT_EQ(fleet.crashCount(kStream), 2U);
+    ASSERT_TRUE(fleet.runUntilRunning(8));
+    fleet.runFor(1000ms);
+    for (unsigned i = 0; i < 20; ++i) { // at all hosts at once, repeatedly
         for (unsigned gateway = 0; gateway < 5; ++gateway) {
             fleet.send(gateway, fleet.request(kStream));
         }
-        fleet.run(150ms);
+        fleet.runFor(150ms);
     }
-    EXPECT_EQ(fleet.arrivals(kStream), kMostCrashes) << "two, and one try";
+    EXPECT_EQ(fleet.arrivalCount(kStream), kMostCrashes) << "two crashes and one trial";
 }
 
-TEST(CrashingRequestHosts, AnOperatorsReleaseLetsItRunAgainOnAllHosts)
+TEST(CrashingRequestHosts, OperatorReleaseTakesEffectOnAllHosts)
 {
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
-    repeat(fleet, 4, 5);
+    sendRepeats(fleet, 4, 5);
     ASSERT_EQ(fleet.ask(0, fleet.request(kStream)).status, 503U);
     boost::json::array lives;
     std::string fingerprint;
@@ -307,28 +304,28 @@
                                         {"written_ms", 1'900'000'000'000},
                                         {"lives", lives},
                                         {"suspects", boost::json::array{boost::json::object{{"fingerprint", fingerprint}}}}});
-    fleet.run(300ms);
-    ASSERT_TRUE(fleet.runUntilUp(6));
-    const std::size_t before = fleet.arrivals(kStream);
+    fleet.runFor(300ms);
+    ASSERT_TRUE(fleet.runUntilRunning(6));
+    const std::size_t before = fleet.arrivalCount(kStream);
     fleet.ask(3, fleet.request(kStream));
-    EXPECT_EQ(fleet.arrivals(kStream), before + 1);
-    EXPECT_EQ(fleet.count("fulmarlink_requests_held_back"), 0U);
+    EXPECT_EQ(fleet.arrivalCount(kStream), before + 1);
+    EXPECT_EQ(fleet.counterSum("fulmarlink_requests_held_back"), 0U);
 }
 
-TEST(CrashingRequestHosts, AllHostsAreLostAtOnceAndStillKnow)
+TEST(CrashingRequestHosts, RecordsSurviveARestartOfAllHosts)
 {
     GatewayFleet fleet({.gateways = 3});
     ASSERT_TRUE(fleet.start());
-    repeat(fleet, 2, 3);
+    sendRepeats(fleet, 2, 3);
     for (unsigned gateway = 0; gateway < 3; ++gateway) {
         fleet.killGateway(gateway);
     }
     for (unsigned gateway = 0; gateway < 3; ++gateway) {
         fleet.startGateway(gateway);
     }
-    fleet.run(500ms);
-    repeat(fleet, 6, 3);
-    EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
+    fleet.runFor(500ms);
+    sendRepeats(fleet, 6, 3);
+    EXPECT_LE(fleet.arrivalCount(kStream), kMostCrashes);
 }
 
 namespace
@@ -336,7 +333,7 @@
 
 struct StoreCase {
     const char *name;
-    void (*harm)(GatewayFleet &fleet);
+    void (*injectFault)(GatewayFleet &fleet);
 };
 
 void PrintTo(const StoreCase &value, std::ostream *out) // NOLINT(readability-identifier-naming): found by GoogleTest
@@ -350,32 +347,32 @@
 
 } // namespace
 
-// What the store does while the ends are noted; each host holds to what it knows, and all know once the store is back.
-TEST_P(CrashingRequestStore, IsHarmedAndTheRequestIsHeldBackAllTheSame)
+// The store fails while crashes are recorded: each host applies what it knows itself, and all hosts know once the store is back.
+TEST_P(CrashingRequestStore, RequestIsHeldBackDespiteStoreFaults)
 {
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
-    GetParam().harm(fleet);
-    repeat(fleet, 3, 1); // at one host, which knows without the store
-    EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
+    GetParam().injectFault(fleet);
+    sendRepeats(fleet, 3, 1); // at one host, which needs no store to know its own crashes
+    EXPECT_LE(fleet.arrivalCount(kStream), kMostCrashes);
     fleet.store.faults = {};
     for (const auto &proxy : fleet.storeProxies) {
         proxy->setMode(ProxyMode::Pass);
     }
-    fleet.run(3000ms);
-    repeat(fleet, 8, 5);
-    EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
+    fleet.runFor(3000ms);
+    sendRepeats(fleet, 8, 5);
+    EXPECT_LE(fleet.arrivalCount(kStream), kMostCrashes);
 }
 
 INSTANTIATE_TEST_SUITE_P(Store,
                          CrashingRequestStore,
-                         ::testing::Values(StoreCase{"Away",
+                         ::testing::Values(StoreCase{"Unavailable",
                                                      [](GatewayFleet &fleet) {
-                                                         fleet.store.faults.refuseWith = 503;
+                                                         fleet.store.faults.refusalStatus = 503;
                                                      }},
-                                           StoreCase{"RefusesForItsRate",
+                                           StoreCase{"RateLimited",
                                                      [](GatewayFleet &fleet) {
-                                                         fleet.store.faults.refuseWith = 429;
+                                                         fleet.store.faults.refusalStatus = 429;
                                                      }},
                                            StoreCase{"Slow",
                                                      [](GatewayFleet &fleet) {
@@ -383,18 +380,18 @@
                                                      }},
                                            StoreCase{"LosesAnswers",
                                                      [](GatewayFleet &fleet) {
-                                                         fleet.store.faults.loseWrites = 2;
+                                                         fleet.store.faults.unansweredWrites = 2;
                                                      }},
-                                           StoreCase{"ForgetsItsHistory",
+                                           StoreCase{"LosesRevisionHistory",
                                                      [](GatewayFleet &fleet) {
-                                                         fleet.store.faults.forgetful = true;
+                                                         fleet.store.faults.watchRevisionGone = true;
                                                      }},
-                                           StoreCase{"TurnsOneHostAway",
+                                           StoreCase{"RefusesOneHost",
                                                      [](GatewayFleet &fleet) {
                                                          fleet.storeProxies[0]->setMode(ProxyMode::Refuse);
                                                          fleet.storeProxies[0]->reset();
                                                      }},
-                                           StoreCase{"IsSilentToOneHost",
+                                           StoreCase{"SilentToOneHost",
                                                      [](GatewayFleet &fleet) {
                                                          fleet.storeProxies[0]->setMode(ProxyMode::Silent);
                                                      }}),
@@ -402,8 +399,8 @@
                              return info.param.name;
                          });
 
-// Other writers' records, and what a later version may write, hold nothing back and hide nothing.
-TEST(CrashingRequestStoreRecords, ThatCantBeReadAreLeftOut)
+// Records of other writers or later versions neither hold a request back nor keep valid records from being read.
+TEST(CrashingRequestStoreRecords, MalformedRecordsAreIgnored)
 {
     GatewayFleet fleet({.gateways = 3});
     for (const char *content : {R"({})",
@@ -421,20 +418,20 @@
     fleet.store.set("fulmarlink-crashes", "odd name/../\r\n", boost::json::parse(R"({"kind":"crash","host":"h","written_ms":1,"lives":[],"suspects":[]})"));
     ASSERT_TRUE(fleet.start());
     EXPECT_EQ(fleet.ask(0, fleet.request("/again/fine")).status, 200U);
-    repeat(fleet, 6, 3);
-    EXPECT_LE(fleet.arrivals(kStream), kMostCrashes);
+    sendRepeats(fleet, 6, 3);
+    EXPECT_LE(fleet.arrivalCount(kStream), kMostCrashes);
 }
 
-// The last record of a rare end comes while watches hear nothing: it is known when all records are read anew.
-TEST(CrashingRequestStoreRecords, ThatAWatchDidNotTellOfAreReadAfterAWhile)
+// The store announces no changes: records written meanwhile are found by the periodic full read.
+TEST(CrashingRequestStoreRecords, RecordsThatAreNotAnnouncedAreFoundByTheFullRead)
 {
     GatewayFleet fleet({});
     ASSERT_TRUE(fleet.start());
-    fleet.store.faults.deaf = true;
-    repeat(fleet, 2, 1);
-    fleet.run(11s);
+    fleet.store.faults.watchesMissChanges = true;
+    sendRepeats(fleet, 2, 1);
+    fleet.runFor(11s);
     EXPECT_EQ(fleet.ask(4, fleet.request(kStream)).status, 503U);
-    EXPECT_LE(fleet.arrivals(kStream), 2U);
+    EXPECT_LE(fleet.arrivalCount(kStream), 2U);
 }
 
 } // namespace fulmarlink::testing
--- a/testing/mapkeeper_test.cpp
+++ b/testing/expertmapcontroller_test.cpp
@@ -1,7 +1,7 @@
-// The owner of a group's map over a group in memory: a turn of demand is answered, a late
-// copy holds the group no longer than itself, a group that is still starting keeps its owner.
+// Tests the controller of a group's expert map against an in-memory group in real time: demand
+// shifts, late copies, slow ranks, a group that is still starting, and loss of the store.
 
-#include "fulmarlink/mapkeeper.h"
+#include "fulmarlink/expertmapcontroller.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -24,7 +24,7 @@
 const std::vector<double> kEven(8, 1);
 const std::vector<double> kOneHot{30, 1, 1, 1, 1, 1, 1, 1};
 
-class MapKeeperTest : public ::testing::Test
+class ExpertMapControllerTest : public ::testing::Test
 {
 public:
     void start(FakeGroupOptions options)
@@ -33,7 +33,7 @@
         settings.host = "entry";
         state = std::make_unique<GatewayState>(settings, clock, counters, protocol);
         group = std::make_unique<FakeGroup>(context, options);
-        group->turn(kEven);
+        group->setDemand(kEven);
         Configuration configuration;
         configuration.version = 1;
         ServiceSpec service;
@@ -44,7 +44,7 @@
         service.engine->placements = options.placements;
         service.engine->newPerSwitch = 2;
         service.engine->expertMb = 1;
-        service.engine->linkMbps = 800; // a copy of 10 ms
+        service.engine->linkMbps = 800; // one expert copy takes 10 ms
         service.engine->expertShare = 0.8;
         service.engine->reportLag = 200ms;
         configuration.services.push_back(service);
@@ -54,23 +54,23 @@
             state->targets.setGroup(target.id, "g");
         }
         group->start([this](Duration length) {
-            noteEvents(length);
+            recordEvents(length);
         });
-        keeper = std::make_shared<MapKeeper>(context, *state, *group, "model", "g");
-        asio::co_spawn(context, keeper->run(), asio::detached);
+        controller = std::make_shared<ExpertMapController>(context, *state, *group, "model", "g");
+        asio::co_spawn(context, controller->run(), asio::detached);
     }
 
-    /** What the streams of a pass tell the gate. */
-    void noteEvents(Duration length)
+    /** Reports the events of one pass to the gate, as the streams of this host would. */
+    void recordEvents(Duration length)
     {
         constexpr unsigned kStreams = 8;
-        if (!streamsHere) {
+        if (!hasLocalStreams) {
             return;
         }
         PoolGate &gate = state->pool("model").gate("g");
-        gate.answerSeen(clock.now());
+        gate.recordAnswer(clock.now());
         for (unsigned i = 0; i < kStreams; ++i) {
-            gate.pauseSeen(length, 100ms, clock.now());
+            gate.recordEventInterval(length, 100ms, clock.now());
         }
     }
 
@@ -84,16 +84,16 @@
         return condition();
     }
 
-    ~MapKeeperTest() override
+    ~ExpertMapControllerTest() override
     {
         if (state) {
-            state->drainBegan = clock.now();
+            state->drainStartedAt = clock.now();
             group->stop();
             context.run_for(500ms);
         }
     }
 
-    bool streamsHere = true;
+    bool hasLocalStreams = true;
     asio::io_context context;
     HostClock clock;
     Counters counters;
@@ -101,16 +101,16 @@
     GatewaySettings settings;
     std::unique_ptr<GatewayState> state;
     std::unique_ptr<FakeGroup> group;
-    std::shared_ptr<MapKeeper> keeper;
+    std::shared_ptr<ExpertMapController> controller;
 };
 
 } // namespace
 
-TEST_F(MapKeeperTest, ATurnOfDemandIsAnsweredAndNoPassHasTwoMaps)
+TEST_F(ExpertMapControllerTest, DemandShiftCausesASwitchAndNoPassUsesTwoMaps)
 {
     start({});
     context.run_for(1500ms);
-    group->turn(kOneHot);
+    group->setDemand(kOneHot);
     const double before = group->imbalance();
     EXPECT_TRUE(runUntil(
         [this] {
@@ -118,11 +118,11 @@
         },
         10s));
     EXPECT_GT(before, 1.9);
-    EXPECT_FALSE(group->twoMaps);
+    EXPECT_FALSE(group->usedMixedMaps);
 }
 
-// A group that has gone takes its keeper along; nothing of it may run on.
-TEST_F(MapKeeperTest, AKeeperThatHasEndedIsUsedByNobody)
+// GroupWatch destroys a controller that has ended, so nothing that it started may still use it.
+TEST_F(ExpertMapControllerTest, EndedControllerCanBeDestroyed)
 {
     start({});
     ASSERT_TRUE(runUntil(
@@ -130,54 +130,54 @@
             return group->lease.holder == "entry";
         },
         5s));
-    EXPECT_FALSE(keeper->ended());
-    state->drainBegan = clock.now();
+    EXPECT_FALSE(controller->ended());
+    state->drainStartedAt = clock.now();
     ASSERT_TRUE(runUntil(
         [this] {
-            return keeper->ended();
+            return controller->ended();
         },
         5s));
     EXPECT_TRUE(group->lease.holder.empty());
-    keeper.reset();
+    controller.reset();
     context.run_for(300ms);
 }
 
-// Counts cost the group time: a turn may take two looks at the sampled ranks and a third where a pass was short, and the switch none.
-TEST_F(MapKeeperTest, ATurnIsAnsweredWithFewCounts)
+// Reads of counts cost the group time: a shift may take two reads of the sampled ranks, a third if a pass was short, and none for the switch.
+TEST_F(ExpertMapControllerTest, DemandShiftCausesFewCountReads)
 {
     start({});
     context.run_for(1500ms);
-    group->countsRead = 0;
-    group->turn(kOneHot);
+    group->countReads = 0;
+    group->setDemand(kOneHot);
     ASSERT_TRUE(runUntil(
         [this] {
             return group->switches > 0;
         },
         10s));
-    EXPECT_LE(group->countsRead, 3 * settings.sampledRanks);
-    EXPECT_FALSE(group->twoMaps);
+    EXPECT_LE(group->countReads, 3 * settings.sampledRanks);
+    EXPECT_FALSE(group->usedMixedMaps);
 }
 
-TEST_F(MapKeeperTest, ACopyThatIsLateHoldsTheGroupNoLongerThanItself)
+TEST_F(ExpertMapControllerTest, LateCopyHoldsTheGroupOnlyUntilItCompletes)
 {
     FakeGroupOptions options;
-    options.lateCopy = 100ms;
+    options.lastRankCopyDelay = 100ms;
     start(options);
     context.run_for(1500ms);
-    group->turn(kOneHot);
+    group->setDemand(kOneHot);
     EXPECT_TRUE(runUntil(
         [this] {
             return group->switches > 0;
         },
         10s));
-    EXPECT_FALSE(group->twoMaps);
-    EXPECT_EQ(group->reportsWhileHeld, 0U) << "reports are 0.28 s old: the group would stand for so long";
+    EXPECT_FALSE(group->usedMixedMaps);
+    EXPECT_EQ(group->reportReadsWhileHeld, 0U) << "reports are 0.28 s old, so the group would be held for that long";
 }
 
-TEST_F(MapKeeperTest, AGroupThatIsStillStartingKeepsItsOwner)
+TEST_F(ExpertMapControllerTest, LeaseIsKeptWhileTheGroupIsStarting)
 {
     FakeGroupOptions options;
-    options.listed = 2;
+    options.listedRanks = 2;
     start(options);
     ASSERT_TRUE(runUntil(
         [this] {
@@ -189,8 +189,8 @@
     EXPECT_LE(group->lease.renewals, 2U);
 }
 
-// The load: the owner's way to the store goes silent, demand turns right after it.
-TEST_F(MapKeeperTest, AnOwnerThatCantReachTheStoreGoesOnUntilItsTermEnds)
+// The store stops answering the lease holder, and demand shifts right afterwards.
+TEST_F(ExpertMapControllerTest, LeaderWithoutTheStoreWorksUntilItsLeaseExpires)
 {
     start({});
     ASSERT_TRUE(runUntil(
@@ -198,9 +198,9 @@
             return group->lease.renewals >= 2;
         },
         5s));
-    group->storeSilent = true;
-    context.run_for(900ms); // a renewal is under way by now
-    group->turn(kOneHot);
+    group->leaseWritesTimeOut = true;
+    context.run_for(900ms); // a renewal is in flight by now
+    group->setDemand(kOneHot);
     EXPECT_TRUE(runUntil(
         [this] {
             return group->switches > 0;
@@ -208,8 +208,8 @@
         800ms));
 }
 
-// The load: a zone's callers move to another zone while the group works on.
-TEST_F(MapKeeperTest, AnOwnerWithoutStreamsLeavesTheLeaseToAHostThatHasSome)
+// The callers of a zone move to another zone while the group keeps processing requests.
+TEST_F(ExpertMapControllerTest, LeaderWithoutStreamsReleasesTheLeaseOfAnActiveGroup)
 {
     start({});
     ASSERT_TRUE(runUntil(
@@ -219,7 +219,7 @@
         5s));
     context.run_for(500ms);
     EXPECT_EQ(group->lease.holder, "entry");
-    streamsHere = false;
+    hasLocalStreams = false;
     EXPECT_TRUE(runUntil(
         [this] {
             return group->lease.holder.empty();
@@ -227,12 +227,12 @@
         6s));
 }
 
-// The load: one rank works at an eighth of its speed, and the whole group waits for it.
-TEST_F(MapKeeperTest, ASlowRankIsEmptiedMadeKnownAndTakenBack)
+// One rank works at an eighth of its speed, and the whole group waits for it.
+TEST_F(ExpertMapControllerTest, SlowRankIsRelievedPublishedAndRestored)
 {
     start({});
     context.run_for(1500ms);
-    group->slow(2, 8);
+    group->setSlowdown(2, 8);
     const double before = group->imbalance();
     EXPECT_TRUE(runUntil(
         [this] {
@@ -241,12 +241,12 @@
         15s))
         << group->imbalance();
     EXPECT_GT(before, 6);
-    EXPECT_FALSE(group->twoMaps);
+    EXPECT_FALSE(group->usedMixedMaps);
     Random random(1);
     const TargetInfo *picked = state->targets.pick("model", {"rank-0", "rank-1"}, clock.now(), random);
     ASSERT_NE(picked, nullptr);
     EXPECT_EQ(picked->id, "rank-3");
-    group->slow(2, 1);
+    group->setSlowdown(2, 1);
     EXPECT_TRUE(runUntil(
         [this] {
             return group->lease.slowTargets.empty();
@@ -254,19 +254,19 @@
         5s));
 }
 
-// The load: a rank so slow that a pass takes over half a second, which looks like a standstill.
-TEST_F(MapKeeperTest, AGroupOfVeryLongPassesIsStillLookedAfter)
+// A rank is so slow that a pass takes over half a second, which looks like a stalled group.
+TEST_F(ExpertMapControllerTest, GroupWithVeryLongPassesIsStillRebalanced)
 {
     start({});
     context.run_for(1500ms);
-    group->slow(1, 40);
+    group->setSlowdown(1, 40);
     EXPECT_TRUE(runUntil(
         [this] {
             return group->imbalance() < 5;
         },
         10s))
         << group->imbalance();
-    EXPECT_FALSE(group->twoMaps);
+    EXPECT_FALSE(group->usedMixedMaps);
 }
 
 } // namespace fulmarlink::testing
--- a/testing/gateway_test.cpp
+++ b/testing/gateway_test.cpp
@@ -1,6 +1,5 @@
-// The gateway over real sockets, against stand-ins of the platform's store and runners:
-// each way in which a runner, the store or a caller can misbehave, and what the caller and
-// the runners see.
+// Tests of the gateway over real sockets with fake store and runners. They check what caller
+// and runners see when a runner, the store or a caller misbehaves.
 
 #include "fulmarlink/gateway.h"
 
@@ -12,7 +11,7 @@
 namespace fulmarlink::testing
 {
 
-TEST_F(GatewayTest, AWholeAnswerWithItsSealAndTheCustomerInsteadOfTheKey)
+TEST_F(GatewayTest, ForwardsCustomerInsteadOfApiKeyAndRelaysSealedAnswer)
 {
     start();
     HttpRequest message = request("/once/x?q=1");
@@ -22,33 +21,33 @@
     EXPECT_TRUE(answer.whole);
     EXPECT_EQ(answer.body, "from " + answer["Server-Seal"]);
     EXPECT_EQ(answer["Attempt-Id"], "attempt-1");
-    const HttpRequest &seen = lastSeen();
+    const HttpRequest &seen = lastRequest();
     EXPECT_EQ(seen["Tenant"], "customer");
     EXPECT_EQ(seen[http::field::authorization], "");
     EXPECT_EQ(seen.target(), "/once/x?q=1");
     EXPECT_EQ(seen.body(), "text");
-    EXPECT_LE(std::stoi(std::string(seen["Deadline-Ms"])), 900); // the route's time, not the caller's
+    EXPECT_LE(std::stoi(std::string(seen["Deadline-Ms"])), 900); // the deadline of the route, not of the caller
 }
 
-TEST_F(GatewayTest, RoutesAndKeysOfTheConfigurationDecide)
+TEST_F(GatewayTest, RejectsUnknownRoutesAndApiKeys)
 {
     start();
     EXPECT_EQ(ask(request("/nowhere/")).status, 404U);
     EXPECT_EQ(ask(request("/once/x", "stolen")).status, 401U);
     EXPECT_EQ(ask(request("/once/x", "")).status, 401U);
     EXPECT_EQ(ask(request("/open/x", "")).status, 200U);
-    EXPECT_EQ(runs(), 1U);
+    EXPECT_EQ(ranRequests(), 1U);
 }
 
-TEST_F(GatewayTest, WithoutAConfigurationItIsNotReadyAndSaysNotRun)
+TEST_F(GatewayTest, RefusesAndIsNotReadyWithoutConfiguration)
 {
     store.remove("config", "main");
-    GatewayEdges edges;
-    edges.protocol = std::make_unique<PlatformProtocol>();
+    GatewayAdapters adapters;
+    adapters.protocol = std::make_unique<PlatformProtocol>();
     PlatformClientOptions options;
     options.store = settings.store;
-    edges.platform = std::make_unique<PlatformClient>(context.get_executor(), clock, counters, options);
-    gateway = std::make_unique<Gateway>(context, settings, counters, std::move(edges));
+    adapters.platform = std::make_unique<PlatformClient>(context.get_executor(), clock, counters, options);
+    gateway = std::make_unique<Gateway>(context, settings, counters, std::move(adapters));
     gateway->start();
     const Answer answer = ask(request("/once/x"));
     EXPECT_EQ(answer.status, 503U);
@@ -62,89 +61,89 @@
         3s));
 }
 
-TEST_F(GatewayTest, WhatMayRunOnceIsNeverSentAgain)
+TEST_F(GatewayTest, NonIdempotentRequestIsNotResentAfterFailure)
 {
     start();
     for (const RunnerAct act : {RunnerAct::ResetUnanswered, RunnerAct::Truncated, RunnerAct::Unsealed, RunnerAct::Garbage, RunnerAct::Fail}) {
-        const std::size_t before = runs();
-        first(act);
+        const std::size_t before = ranRequests();
+        setActForFirstRequest(act);
         const Answer answer = ask(request("/once/x"));
-        EXPECT_EQ(runs(), before + 1) << static_cast<int>(act);
+        EXPECT_EQ(ranRequests(), before + 1) << static_cast<int>(act);
         EXPECT_EQ(answer.status, act == RunnerAct::Fail ? 500U : 502U) << static_cast<int>(act);
     }
 }
 
-TEST_F(GatewayTest, ASilentRunnerOfWhatMayRunOnceEndsInTimeAsUnknown)
+TEST_F(GatewayTest, NonIdempotentRequestToSilentRunnerTimesOutAtDeadline)
 {
     start();
-    both(RunnerAct::Silent);
+    setActForBoth(RunnerAct::Silent);
     const auto began = std::chrono::steady_clock::now();
     const Answer answer = ask(request("/once/x"));
     const auto took = std::chrono::steady_clock::now() - began;
     EXPECT_EQ(answer.status, 504U);
-    EXPECT_EQ(runs(), 1U);
+    EXPECT_EQ(ranRequests(), 1U);
     EXPECT_LT(took, 1400ms);
 }
 
-TEST_F(GatewayTest, WhatMayBeRepeatedGoesToTheOtherRunner)
+TEST_F(GatewayTest, IdempotentRequestIsRetriedAtOtherRunner)
 {
     start();
     for (const RunnerAct act :
          {RunnerAct::ResetUnanswered, RunnerAct::Truncated, RunnerAct::Unsealed, RunnerAct::Garbage, RunnerAct::Fail, RunnerAct::Silent}) {
-        first(act);
+        setActForFirstRequest(act);
         const Answer answer = ask(request("/again/x"));
         EXPECT_EQ(answer.status, 200U) << static_cast<int>(act);
         EXPECT_TRUE(answer.whole);
     }
 }
 
-TEST_F(GatewayTest, ARefusalIsTriedElsewhereAndThenSaidAsNotRun)
+TEST_F(GatewayTest, RefusedRequestIsRetriedAndThenReportedAsNotRun)
 {
     start();
-    first(RunnerAct::Refuse);
+    setActForFirstRequest(RunnerAct::Refuse);
     EXPECT_EQ(ask(request("/once/x")).status, 200U);
-    EXPECT_EQ(runs(), 1U);
-    both(RunnerAct::Refuse);
+    EXPECT_EQ(ranRequests(), 1U);
+    setActForBoth(RunnerAct::Refuse);
     const Answer answer = ask(request("/once/x"));
     EXPECT_EQ(answer.status, 503U);
     EXPECT_NE(answer["Retry-After"], "");
     EXPECT_EQ(answer["Server-Seal"], "");
-    EXPECT_EQ(runs(), 1U);
+    EXPECT_EQ(ranRequests(), 1U);
 }
 
-TEST_F(GatewayTest, AnAddressThatAnotherRunnerHasNowRunsNothing)
+TEST_F(GatewayTest, RequestDoesNotRunAtReusedRunnerAddress)
 {
     start();
     addresses["i-c"] = addresses["i-a"];
-    list("i-c");
+    listRunner("i-c");
     store.remove("servers", "i-a");
     store.remove("servers", "i-b");
     context.run_for(1300ms);
     EXPECT_EQ(ask(request("/once/x")).status, 503U);
-    EXPECT_EQ(runs(), 0U);
+    EXPECT_EQ(ranRequests(), 0U);
 }
 
-TEST_F(GatewayTest, AnAnswerToAnotherRequestIsPassedOver)
+TEST_F(GatewayTest, SkipsAnswerToAnotherRequest)
 {
     start();
-    both(RunnerAct::Foreign);
+    setActForBoth(RunnerAct::StrayFirst);
     const Answer answer = ask(request("/once/x"));
     EXPECT_EQ(answer.status, 200U);
     EXPECT_TRUE(answer.body.starts_with("from ")) << answer.body;
 }
 
-TEST_F(GatewayTest, AForeignAnswerThatIsTakenIsNoticed)
+TEST_F(GatewayTest, MutationTrustForeignAnswerRelaysWrongAnswer)
 {
     const ScopedMutation mutation(Mutation::TrustForeignAnswer);
     start();
-    both(RunnerAct::Foreign);
+    setActForBoth(RunnerAct::StrayFirst);
     EXPECT_EQ(ask(request("/once/x")).body, "wrong");
 }
 
-TEST_F(GatewayTest, ASecondAnswerReachesNobody)
+TEST_F(GatewayTest, UnsolicitedSecondAnswerIsDiscarded)
 {
     start();
-    both(RunnerAct::Extra);
+    setActForBoth(RunnerAct::StrayLast);
     for (int i = 0; i < 6; ++i) {
         const Answer answer = ask(request("/once/x"));
         EXPECT_EQ(answer.status, 200U);
@@ -152,19 +151,19 @@
     }
 }
 
-TEST_F(GatewayTest, AnAnswerWithoutLengthIsWholeWhenItsConnectionEnds)
+TEST_F(GatewayTest, AnswerWithoutLengthEndsWithConnection)
 {
     start();
-    both(RunnerAct::Unframed);
+    setActForBoth(RunnerAct::WithoutLength);
     const Answer answer = ask(request("/once/x"));
     EXPECT_EQ(answer.status, 200U);
     EXPECT_TRUE(answer.body.starts_with("from "));
 }
 
-TEST_F(GatewayTest, ABrokenStreamGoesOnBehindItsLastWholeEvent)
+TEST_F(GatewayTest, InterruptedStreamResumesAfterLastCompleteEvent)
 {
     start();
-    first(RunnerAct::CutStream);
+    setActForFirstRequest(RunnerAct::CutStream);
     const Answer answer = ask(request("/stream/x"));
     std::string expected;
     for (int i = 0; i < 6; ++i) {
@@ -173,25 +172,25 @@
     EXPECT_EQ(answer.status, 200U);
     EXPECT_TRUE(answer.whole);
     EXPECT_EQ(answer.body, expected);
-    EXPECT_EQ(runs(), 2U);
+    EXPECT_EQ(ranRequests(), 2U);
 }
 
-TEST_F(GatewayTest, AStreamThatCanNotGoOnDoesNotLookWhole)
+TEST_F(GatewayTest, StreamThatCannotResumeIsTruncatedVisibly)
 {
     start();
-    both(RunnerAct::CutStream);
+    setActForBoth(RunnerAct::CutStream);
     const Answer answer = ask(request("/stream/x"));
     EXPECT_EQ(answer.status, 200U);
     EXPECT_FALSE(answer.whole);
-    EXPECT_EQ(runs(), 2U); // max_attempts
+    EXPECT_EQ(ranRequests(), 2U); // max_attempts
 }
 
-TEST_F(GatewayTest, ACallerThatLeavesEndsTheRunnersWork)
+TEST_F(GatewayTest, CallerDisconnectCancelsRunnerWork)
 {
     a.events = 200;
     b.events = 200;
-    a.work = 20ms;
-    b.work = 20ms;
+    a.workTime = 20ms;
+    b.workTime = 20ms;
     start();
     auto answer = std::make_shared<Answer>();
     auto done = std::make_shared<bool>(false);
@@ -203,19 +202,19 @@
         asio::write(socket, asio::buffer(text.str()));
         runUntil(
             [this] {
-                return runs() == 1;
+                return ranRequests() == 1;
             },
             2s);
         context.run_for(100ms);
     }
     EXPECT_TRUE(runUntil(
         [this] {
-            return a.abandoned + b.abandoned == 1;
+            return a.abandonedStreams + b.abandonedStreams == 1;
         },
         500ms));
 }
 
-TEST_F(GatewayTest, ATakenKeyRunsNowhereAndANewOneIsLearned)
+TEST_F(GatewayTest, RevokedKeyIsRejectedAndNewKeyIsAccepted)
 {
     start();
     json::value next = json::parse(kConfiguration);
@@ -225,14 +224,14 @@
     context.run_for(1500ms);
     EXPECT_EQ(ask(request("/once/x", "key")).status, 401U);
     EXPECT_EQ(ask(request("/once/x", "fresh")).status, 200U);
-    store.set("config", "main", json::parse(kConfiguration)); // an older version comes late
+    store.set("config", "main", json::parse(kConfiguration)); // an older version arrives late
     context.run_for(1500ms);
-    const std::size_t before = runs();
+    const std::size_t before = ranRequests();
     EXPECT_NE(ask(request("/once/x", "key")).status, 200U);
-    EXPECT_EQ(runs(), before);
+    EXPECT_EQ(ranRequests(), before);
 }
 
-TEST_F(GatewayTest, AMalformedConfigurationLeavesTheLastGoodOneInForce)
+TEST_F(GatewayTest, MalformedConfigurationKeepsLastValidOne)
 {
     start();
     for (const char *bad : {R"({"version":20,"routes":[{"name":"x"}]})",
@@ -253,7 +252,7 @@
         3s));
 }
 
-TEST_F(GatewayTest, KeyedRequestsEndBeforeTheBoundWhenTheStoreIsSilentAndComeBackWithIt)
+TEST_F(GatewayTest, KeyedRequestsAreRefusedWhenKeyProofExpiresAndServedAfterStoreRecovers)
 {
     settings.revokeBound = 1500ms;
     start();
@@ -262,7 +261,7 @@
     const Answer refused = ask(request("/once/x"));
     EXPECT_EQ(refused.status, 503U);
     EXPECT_EQ(ask(request("/open/x", "")).status, 200U);
-    EXPECT_EQ(ask(request("/once/x", "unknown")).status, 503U); // it may be new
+    EXPECT_EQ(ask(request("/once/x", "unknown")).status, 503U); // the key may have been added since the last proof
     store.faults.silent = false;
     EXPECT_TRUE(runUntil(
         [this] {
@@ -271,7 +270,7 @@
         4s));
 }
 
-TEST_F(GatewayTest, AHostThatHasLostTheStoreSendsItsCallersElsewhereWhileItStillServesThem)
+TEST_F(GatewayTest, HostWithoutStoreServesRequestsAndClosesCallerConnections)
 {
     start();
     EXPECT_NE(ask(request("/once/x"))[std::string("Connection")], "close");
@@ -283,9 +282,9 @@
     EXPECT_EQ(answer[std::string("Connection")], "close");
 }
 
-TEST_F(GatewayTest, AnEngineThatComesAndGoesWithTheConfigurationStopsNothing)
+TEST_F(GatewayTest, AddingAndRemovingEngineConfigurationKeepsServing)
 {
-    joinGroups("g", "g");
+    reportGroups("g", "g");
     start();
     json::value next = json::parse(kConfiguration);
     next.at("version") = 9;
@@ -304,41 +303,41 @@
     EXPECT_EQ(ask(request("/once/x")).status, 200U);
 }
 
-TEST_F(GatewayTest, ALeavingRunnerGetsNoMoreWork)
+TEST_F(GatewayTest, DrainingRunnerGetsNoNewRequests)
 {
     start();
-    list("i-a", "draining");
+    listRunner("i-a", "draining");
     context.run_for(1500ms);
-    const std::size_t before = a.seen.size();
+    const std::size_t before = a.receivedRequests.size();
     for (int i = 0; i < 8; ++i) {
         EXPECT_EQ(ask(request("/once/x")).status, 200U);
     }
-    EXPECT_EQ(a.seen.size(), before);
+    EXPECT_EQ(a.receivedRequests.size(), before);
 }
 
-TEST_F(GatewayTest, AStoreThatRefusesThisHostIsAskedAgainWithoutSpinning)
+TEST_F(GatewayTest, RetriesRefusingStoreAtBoundedRate)
 {
     start();
     const unsigned before = store.calls;
-    store.faults.refuseWith = 429;
+    store.faults.refusalStatus = 429;
     context.run_for(2000ms);
     EXPECT_LT(store.calls - before, 40U);
-    store.faults.refuseWith = 0;
+    store.faults.refusalStatus = 0;
     context.run_for(800ms);
     EXPECT_EQ(ask(request("/once/x")).status, 200U);
 }
 
-TEST_F(GatewayTest, ADrainAnswersWhatComesAndEndsWhenAllIsAnswered)
+TEST_F(GatewayTest, DrainServesLateRequestsAndEndsWhenAllAreAnswered)
 {
-    a.work = 300ms;
-    b.work = 300ms;
+    a.workTime = 300ms;
+    b.workTime = 300ms;
     start();
     auto answer = std::make_shared<Answer>();
     auto done = std::make_shared<bool>(false);
     asio::co_spawn(context, callOnce(context, settings.callers, request("/once/x"), answer, done), asio::detached);
     runUntil(
         [this] {
-            return runs() == 1;
+            return ranRequests() == 1;
         },
         2s);
     gateway->startDrain();
@@ -354,10 +353,10 @@
         },
         4s));
     context.run_for(600ms);
-    EXPECT_EQ(ask(request("/once/x")).status, 503U); // too late to be sure to end in time
+    EXPECT_EQ(ask(request("/once/x")).status, 503U); // too late in the drain to be sure to end before shutdown
 }
 
-TEST_F(GatewayTest, MalformedRequestsHaveTheirCodes)
+TEST_F(GatewayTest, MalformedRequestsGetMatchingStatusCodes)
 {
     start();
     const auto raw = [this](const std::string &text) {
@@ -382,34 +381,34 @@
     EXPECT_EQ(raw("POST /open/ HTTP/1.1\r\nHost: h.example\r\nContent-Length: 5000\r\n\r\n" + std::string(5000, 'x')), "HTTP/1.1 413");
     EXPECT_EQ(raw("POST /open/ HTTP/1.1\r\nHost: h.exa"), "HTTP/1.1 408");
     EXPECT_EQ(raw("POST /once/ HTTP/1.1\r\nHost: h.example\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), "HTTP/1.1 400");
-    EXPECT_EQ(runs(), 0U);
+    EXPECT_EQ(ranRequests(), 0U);
 }
 
-// The load: one rank of a group works far below its speed; the owner of the group's map says so.
-TEST_F(GatewayTest, AStreamAtASlowRunnerGoesOnElsewhereWithoutAGap)
+// One rank of a group runs far below its usual speed, and the group's leader reports it as slow in the lease.
+TEST_F(GatewayTest, StreamMovesFromSlowRunnerWithoutLosingEvents)
 {
     constexpr unsigned kEvents = 60;
-    const auto lease = [this](unsigned renewals, const json::array &slow) {
+    const auto setLease = [this](unsigned renewals, const json::array &slow) {
         store.set("fulmarlink-leases", "plain.g", json::object{{"holder", "other"}, {"renewals", renewals}, {"slow", slow}});
     };
-    lease(1, {});
-    joinGroups("g", "g");
+    setLease(1, {});
+    reportGroups("g", "g");
     a.events = kEvents;
     b.events = kEvents;
-    a.work = 40ms;
-    b.work = 40ms;
+    a.workTime = 40ms;
+    b.workTime = 40ms;
     start();
     auto answer = std::make_shared<Answer>();
     auto done = std::make_shared<bool>(false);
     asio::co_spawn(context, callOnce(context, settings.callers, request("/stream/x"), answer, done), asio::detached);
     ASSERT_TRUE(runUntil(
         [this] {
-            return runs() == 1;
+            return ranRequests() == 1;
         },
         2s));
     context.run_for(200ms);
-    const std::string slow = a.ran.empty() ? "i-b" : "i-a";
-    lease(2, {slow.c_str()});
+    const std::string slow = a.attemptsRun.empty() ? "i-b" : "i-a";
+    setLease(2, {slow.c_str()});
     EXPECT_TRUE(runUntil(
         [done] {
             return *done;
@@ -421,8 +420,8 @@
     }
     EXPECT_TRUE(answer->whole);
     EXPECT_EQ(answer->body, expected);
-    EXPECT_EQ(runs(), 2U);
-    EXPECT_EQ(a.abandoned + b.abandoned, 1U);
+    EXPECT_EQ(ranRequests(), 2U);
+    EXPECT_EQ(a.abandonedStreams + b.abandonedStreams, 1U);
 }
 
 } // namespace fulmarlink::testing
--- a/testing/gatewaymutation_test.cpp
+++ b/testing/gatewaymutation_test.cpp
@@ -1,4 +1,4 @@
-// Broken variants of the gateway's decisions: each breaks a promise that holds without it.
+// Mutation tests of the gateway's decisions: each mutation breaks an invariant that holds without it.
 
 #include <gtest/gtest.h>
 #include <ostream>
@@ -6,13 +6,13 @@
 #include "fulmarlink/attemptpolicy.h"
 #include "fulmarlink/configstate.h"
 #include "fulmarlink/crashhistory.h"
+#include "fulmarlink/demandshiftdetector.h"
 #include "fulmarlink/eventsplitter.h"
 #include "fulmarlink/expertload.h"
 #include "fulmarlink/expertplanner.h"
 #include "fulmarlink/gatewaystate.h"
 #include "fulmarlink/hostclock.h"
-#include "fulmarlink/leasekeeper.h"
-#include "fulmarlink/pacewatch.h"
+#include "fulmarlink/leaseelector.h"
 #include "fulmarlink/poolgate.h"
 #include "fulmarlink/rankgroups.h"
 #include "fulmarlink/targettable.h"
@@ -32,7 +32,7 @@
     return TimePoint(std::chrono::seconds(500) + std::chrono::milliseconds(ms));
 }
 
-AttemptState ranOnce()
+AttemptState brokenAfterOneRun()
 {
     AttemptState state;
     state.end = AttemptEnd::Broken;
@@ -42,17 +42,17 @@
     return state;
 }
 
-bool runsOnce()
+bool nonIdempotentRequestIsNotRepeated()
 {
-    return nextStep(ranOnce()) != NextStep::Again;
+    return nextStep(brokenAfterOneRun()) != NextStep::Again;
 }
 
-bool notRunIsTrue()
+bool sentRequestIsNotReportedAsNotRun()
 {
-    return nextStep(ranOnce()) != NextStep::RefuseNotRun;
+    return nextStep(brokenAfterOneRun()) != NextStep::RefuseNotRun;
 }
 
-bool versionsNeverFall()
+bool configurationVersionNeverDecreases()
 {
     ConfigState state;
     Configuration newer;
@@ -64,17 +64,17 @@
     return state.version() == 9;
 }
 
-bool keysNeedAProof()
+bool keyProofExpires()
 {
     const HostClock clock;
     Counters counters;
     const PlatformProtocol protocol;
     GatewayState state(GatewaySettings(), clock, counters, protocol);
     state.config.confirm(at(0));
-    return !state.keysProved(at(60'000));
+    return !state.keyProofValid(at(60'000));
 }
 
-bool leavingRunnersRest()
+bool leavingRunnerIsNotUsable()
 {
     TargetTable targets({});
     TargetInfo info;
@@ -82,10 +82,10 @@
     info.pool = "p";
     info.leaving = true;
     targets.setTargets({info}, at(0));
-    return !targets.mayTake("a", at(0));
+    return !targets.isUsable("a", at(0));
 }
 
-bool repeatsAreBounded()
+bool repeatsAreLimitedByBudget()
 {
     WindowBudget budget({});
     unsigned granted = 0;
@@ -95,26 +95,26 @@
     return granted < 20;
 }
 
-bool eventsAreWhole()
+bool partialEventIsNotReleased()
 {
     EventSplitter splitter;
     splitter.push("id: 1\nda");
-    return splitter.takeWhole().empty();
+    return splitter.takeCompleteEvents().empty();
 }
 
-bool aLapsedTermEnds()
+bool lapsedLeaseStartsNewTerm()
 {
-    LeaseKeeper keeper(LeaseOptions{.self = "a"});
-    keeper.readDone({}, at(0));
-    LeaseRecord record = keeper.toWrite();
+    LeaseElector elector(LeaseOptions{.self = "a"});
+    elector.handleRead({}, at(0));
+    LeaseRecord record = elector.nextRecord();
     record.revision = 1;
-    keeper.writeDone({{}, record}, at(0), at(1));
+    elector.handleWrite({{}, record}, at(0), at(1));
     record.revision = 2;
-    keeper.writeDone({{}, record}, at(20'000), at(20'001));
-    return keeper.termId() == 2;
+    elector.handleWrite({{}, record}, at(20'000), at(20'001));
+    return elector.termId() == 2;
 }
 
-bool slowRanksRest()
+bool slowRankIsNotPicked()
 {
     TargetTable targets({});
     TargetInfo slow;
@@ -124,81 +124,81 @@
     other.id = "b";
     targets.setTargets({slow, other}, at(0));
     targets.setSlow("p", "", {"a"});
-    targets.sent("b");
+    targets.requestSent("b");
     Random random(1);
     return targets.pick("p", {}, at(0), random)->id == "b";
 }
 
-bool doomedStreamsAreRefused()
+bool streamThatCannotFinishIsRefused()
 {
     PoolGate gate;
-    for (unsigned i = 0; i < PoolGate::kLeastPauses; ++i) {
-        gate.pauseSeen(std::chrono::milliseconds(1000), std::chrono::milliseconds(150), at(0));
+    for (unsigned i = 0; i < PoolGate::kMinIntervals; ++i) {
+        gate.recordEventInterval(std::chrono::milliseconds(1000), std::chrono::milliseconds(150), at(0));
     }
     Random random(1);
-    const PoolLoad load{.runners = 2, .leastLoad = 0.1, .events = 20, .timeLeft = std::chrono::milliseconds(8000)};
+    const PoolLoad load{.runners = 2, .lowestLoad = 0.1, .events = 20, .timeLeft = std::chrono::milliseconds(8000)};
     return !gate.decide(load, at(10), random).admitted;
 }
 
-bool slowRanksAreEmptied()
+bool expertsMoveAwayFromSlowRank()
 {
     ExpertPlanOptions options;
-    options.placements = 3;
-    options.newPerSwitch = 2;
-    options.paces = {8, 1, 1};
+    options.maxExpertsPerRank = 3;
+    options.maxNewPerSet = 2;
+    options.slowdowns = {8, 1, 1};
     const GroupMap map{{{0, 1}, {2, 3}, {4, 5}}};
     return planExperts(map, {std::vector<double>(6, 1)}, options).map.front().front().size() < 2;
 }
 
-bool coldExpertsLeaveSlowRanks()
+bool idleExpertsMoveAwayFromSlowRank()
 {
     ExpertPlanOptions options;
-    options.placements = 3;
-    options.newPerSwitch = 2;
-    options.paces = {8, 1, 1};
+    options.maxExpertsPerRank = 3;
+    options.maxNewPerSet = 2;
+    options.slowdowns = {8, 1, 1};
     const GroupMap map{{{0, 1}, {2, 3}, {4, 5}}};
     return planExperts(map, {{0, 0, 4, 4, 4, 4}}, options).map.front().front().size() < 2;
 }
 
-bool slowRanksAreMadeKnown()
+bool leaseRecordListsSlowRanks()
 {
-    LeaseKeeper keeper(LeaseOptions{.self = "a"});
-    keeper.readDone({}, at(0));
-    LeaseRecord record = keeper.toWrite();
+    LeaseElector elector(LeaseOptions{.self = "a"});
+    elector.handleRead({}, at(0));
+    LeaseRecord record = elector.nextRecord();
     record.revision = 1;
-    keeper.writeDone({{}, record}, at(0), at(1));
-    keeper.setSlowTargets({"rank-1"});
-    return keeper.toWrite().slowTargets.size() == 1;
+    elector.handleWrite({{}, record}, at(0), at(1));
+    elector.setSlowTargets({"rank-1"});
+    return elector.nextRecord().slowTargets.size() == 1;
 }
 
-bool slowPassesAreNoticedEarly()
+bool silenceMakesCountsDueEarly()
 {
-    PaceWatch watch;
+    DemandShiftDetector detector;
     const auto pause = std::chrono::milliseconds(60);
     const auto target = std::chrono::milliseconds(150);
-    watch.restart(at(0));
-    watch.turned({pause, at(1000), target}, at(1010));
-    return watch.turned({pause, at(1000), target}, at(1100));
+    detector.restart(at(0));
+    detector.countsDue({pause, at(1000), target}, at(1010));
+    return detector.countsDue({pause, at(1000), target}, at(1100));
 }
 
-bool slowGroupsGetLess()
+bool slowGroupIsAdmittedLess()
 {
     TwoGroups groups;
-    groups.pace("north", std::chrono::milliseconds(252));
-    groups.pace("south", std::chrono::milliseconds(60));
-    return groups.share("north", 12) <= 4;
+    groups.recordIntervals("north", std::chrono::milliseconds(252));
+    groups.recordIntervals("south", std::chrono::milliseconds(60));
+    return groups.countAdmitted("north", 12) <= 4;
 }
 
-bool stillGroupsGetNothing()
+bool stalledGroupAdmitsNothing()
 {
     TwoGroups groups;
-    groups.open("n0");
+    groups.addOpenRequest("n0");
     groups.clock.time += std::chrono::seconds(1);
-    groups.open("s0");
-    return groups.share("north", 4) == 0;
+    groups.addOpenRequest("s0");
+    return groups.countAdmitted("north", 4) == 0;
 }
 
-bool countsOfTwoStartsAreApart()
+bool expertCountsOfTwoIncarnationsAreNotMixed()
 {
     ExpertLoad load;
     ExpertCountsRead read;
@@ -208,10 +208,10 @@
     read.born = 2;
     read.counts = {{400, 100}};
     load.add("rank", read);
-    return load.gathered() == 0;
+    return load.pendingChoices() == 0;
 }
 
-bool groupsOfTwoEpochsAreNotWhole()
+bool groupWithTwoEpochsIsIncomplete()
 {
     std::vector<RankReportRead> reports(2);
     for (unsigned i = 0; i < reports.size(); ++i) {
@@ -220,71 +220,71 @@
         reports[i].report.size = 2;
         reports[i].report.epoch = i + 1;
     }
-    return !formGroups(reports).front().whole();
+    return !formGroups(reports).front().isComplete();
 }
 
-CrashHistory afterCrashes(unsigned crashes)
+CrashHistory historyWithCrashes(unsigned crashes)
 {
     CrashHistory history;
     for (unsigned i = 0; i < crashes; ++i) {
         CrashRecord record;
         record.name = std::to_string(i);
-        record.lives.push_back({"i-1", i});
+        record.incarnations.push_back({"i-1", i});
         record.suspects.push_back({RequestFingerprint{1, 2, 3}, "c", "r", false});
         history.add(record, at(0));
     }
     return history;
 }
 
-bool aThirdEndBans()
+bool thirdCrashBansRequest()
 {
-    return afterCrashes(3).standing({1, 2, 3}, at(3'600'000)).verdict == CrashVerdict::Banned;
+    return historyWithCrashes(3).status({1, 2, 3}, at(3'600'000)).verdict == CrashVerdict::Banned;
 }
 
-bool anEndCountsOnce()
+bool crashReportedTwiceCountsOnce()
 {
-    CrashHistory history = afterCrashes(1);
+    CrashHistory history = historyWithCrashes(1);
     CrashRecord again;
     again.name = "another host's";
-    again.lives.push_back({"i-1", 0});
+    again.incarnations.push_back({"i-1", 0});
     again.suspects.push_back({RequestFingerprint{1, 2, 3}, "c", "r", false});
     history.add(again, at(0));
-    return history.standing({1, 2, 3}, at(0)).crashes == 1;
+    return history.status({1, 2, 3}, at(0)).crashes == 1;
 }
 
-bool whatEndsWellIsCleared()
+bool completedRequestIsCleared()
 {
-    CrashHistory history = afterCrashes(2);
-    history.endedWell({1, 2, 3}, at(1));
-    return history.standing({1, 2, 3}, at(1)).verdict == CrashVerdict::Clear;
+    CrashHistory history = historyWithCrashes(2);
+    history.requestCompleted({1, 2, 3}, at(1));
+    return history.status({1, 2, 3}, at(1)).verdict == CrashVerdict::Clear;
 }
 
-bool noResendAfterARunnersEnd()
+bool requestIsNotResentAfterRunnerCrash()
 {
-    AttemptState state = ranOnce();
+    AttemptState state = brokenAfterOneRun();
     state.repeatable = true;
     state.runnerEnded = true;
     return nextStep(state) == NextStep::Unknown;
 }
 
-struct Promise {
+struct Invariant {
     const char *name;
     Mutation mutation;
     bool (*holds)();
 };
 
-std::ostream &operator<<(std::ostream &out, const Promise &promise)
+std::ostream &operator<<(std::ostream &out, const Invariant &invariant)
 {
-    return out << promise.name;
+    return out << invariant.name;
 }
 
-class GatewayMutation : public ::testing::TestWithParam<Promise>
+class GatewayMutation : public ::testing::TestWithParam<Invariant>
 {
 };
 
 } // namespace
 
-TEST_P(GatewayMutation, IsCaughtAndThePromiseHoldsWithoutIt)
+TEST_P(GatewayMutation, InvariantHoldsOnlyWithoutMutation)
 {
     EXPECT_TRUE(GetParam().holds());
     const ScopedMutation mutation(GetParam().mutation);
@@ -293,29 +293,29 @@
 
 INSTANTIATE_TEST_SUITE_P(All,
                          GatewayMutation,
-                         ::testing::Values(Promise{"RepeatAfterRun", Mutation::RepeatAfterRun, runsOnce},
-                                           Promise{"NotRunAfterRun", Mutation::NotRunAfterRun, notRunIsTrue},
-                                           Promise{"TakeOlderVersion", Mutation::TakeOlderVersion, versionsNeverFall},
-                                           Promise{"ForgetProofAge", Mutation::ForgetProofAge, keysNeedAProof},
-                                           Promise{"PickLeaving", Mutation::PickLeaving, leavingRunnersRest},
-                                           Promise{"UnboundedRepeats", Mutation::UnboundedRepeats, repeatsAreBounded},
-                                           Promise{"GiveHalfEvents", Mutation::GiveHalfEvents, eventsAreWhole},
-                                           Promise{"SendToSlow", Mutation::SendToSlow, slowRanksRest},
-                                           Promise{"AdmitDoomed", Mutation::AdmitDoomed, doomedStreamsAreRefused},
-                                           Promise{"IgnorePace", Mutation::IgnorePace, slowRanksAreEmptied},
-                                           Promise{"LoseSlowRanks", Mutation::LoseSlowRanks, slowRanksAreMadeKnown},
-                                           Promise{"BlindToSilence", Mutation::BlindToSilence, slowPassesAreNoticedEarly},
-                                           Promise{"IgnoreGroupPace", Mutation::IgnoreGroupPace, slowGroupsGetLess},
-                                           Promise{"AskStillGroup", Mutation::AskStillGroup, stillGroupsGetNothing},
-                                           Promise{"TrustColdExperts", Mutation::TrustColdExperts, coldExpertsLeaveSlowRanks},
-                                           Promise{"MixStarts", Mutation::MixStarts, countsOfTwoStartsAreApart},
-                                           Promise{"ForgetMovedRank", Mutation::ForgetMovedRank, groupsOfTwoEpochsAreNotWhole},
-                                           Promise{"NeverBan", Mutation::NeverBan, aThirdEndBans},
-                                           Promise{"CountReports", Mutation::CountReports, anEndCountsOnce},
-                                           Promise{"ClearNobody", Mutation::ClearNobody, whatEndsWellIsCleared},
-                                           Promise{"ResendAfterCrash", Mutation::ResendAfterCrash, noResendAfterARunnersEnd},
-                                           Promise{"KeepTerm", Mutation::KeepTerm, aLapsedTermEnds}),
-                         [](const ::testing::TestParamInfo<Promise> &info) {
+                         ::testing::Values(Invariant{"RepeatAfterRun", Mutation::RepeatAfterRun, nonIdempotentRequestIsNotRepeated},
+                                           Invariant{"NotRunAfterRun", Mutation::NotRunAfterRun, sentRequestIsNotReportedAsNotRun},
+                                           Invariant{"TakeOlderVersion", Mutation::TakeOlderVersion, configurationVersionNeverDecreases},
+                                           Invariant{"ForgetProofAge", Mutation::ForgetProofAge, keyProofExpires},
+                                           Invariant{"PickLeaving", Mutation::PickLeaving, leavingRunnerIsNotUsable},
+                                           Invariant{"UnboundedRepeats", Mutation::UnboundedRepeats, repeatsAreLimitedByBudget},
+                                           Invariant{"GiveHalfEvents", Mutation::GiveHalfEvents, partialEventIsNotReleased},
+                                           Invariant{"SendToSlow", Mutation::SendToSlow, slowRankIsNotPicked},
+                                           Invariant{"AdmitDoomed", Mutation::AdmitDoomed, streamThatCannotFinishIsRefused},
+                                           Invariant{"IgnorePace", Mutation::IgnorePace, expertsMoveAwayFromSlowRank},
+                                           Invariant{"LoseSlowRanks", Mutation::LoseSlowRanks, leaseRecordListsSlowRanks},
+                                           Invariant{"BlindToSilence", Mutation::BlindToSilence, silenceMakesCountsDueEarly},
+                                           Invariant{"IgnoreGroupPace", Mutation::IgnoreGroupPace, slowGroupIsAdmittedLess},
+                                           Invariant{"AskStillGroup", Mutation::AskStillGroup, stalledGroupAdmitsNothing},
+                                           Invariant{"TrustColdExperts", Mutation::TrustColdExperts, idleExpertsMoveAwayFromSlowRank},
+                                           Invariant{"MixStarts", Mutation::MixStarts, expertCountsOfTwoIncarnationsAreNotMixed},
+                                           Invariant{"ForgetMovedRank", Mutation::ForgetMovedRank, groupWithTwoEpochsIsIncomplete},
+                                           Invariant{"NeverBan", Mutation::NeverBan, thirdCrashBansRequest},
+                                           Invariant{"CountReports", Mutation::CountReports, crashReportedTwiceCountsOnce},
+                                           Invariant{"ClearNobody", Mutation::ClearNobody, completedRequestIsCleared},
+                                           Invariant{"ResendAfterCrash", Mutation::ResendAfterCrash, requestIsNotResentAfterRunnerCrash},
+                                           Invariant{"KeepTerm", Mutation::KeepTerm, lapsedLeaseStartsNewTerm}),
+                         [](const ::testing::TestParamInfo<Invariant> &info) {
                              return info.param.name;
                          });
 
--- a/testing/harness/fakegroup.cpp
+++ b/testing/harness/fakegroup.cpp
@@ -20,7 +20,7 @@
 {
 
 constexpr std::uint64_t kEpoch = 1;
-constexpr double kChoicesOfPass = 4000; ///< of one rank
+constexpr double kSelectionsPerPass = 4000; ///< expert selections of one rank
 
 } // namespace
 
@@ -30,14 +30,14 @@
     , m_ranks(options.ranks)
     , m_map(options.ranks)
     , m_demand(options.experts, 1)
-    , m_paces(options.ranks, 1)
+    , m_slowdowns(options.ranks, 1)
 {
     for (Rank &rank : m_ranks) {
         rank.counts.resize(options.experts);
     }
-    for (unsigned place = 0; place < options.ranks * options.placements; ++place) {
-        const unsigned expert = place % options.experts;
-        auto &held = m_map[place % options.ranks];
+    for (unsigned slot = 0; slot < options.ranks * options.placements; ++slot) {
+        const unsigned expert = slot % options.experts;
+        auto &held = m_map[slot % options.ranks];
         if (std::ranges::find(held, expert) == held.end()) {
             held.push_back(static_cast<ExpertId>(expert));
         }
@@ -49,10 +49,10 @@
     return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now());
 }
 
-void FakeGroup::start(std::function<void(Duration)> passEnded)
+void FakeGroup::start(std::function<void(Duration)> onPassEnd)
 {
-    m_passEnded = std::move(passEnded);
-    asio::co_spawn(m_context, passes(), asio::detached);
+    m_onPassEnd = std::move(onPassEnd);
+    asio::co_spawn(m_context, runPasses(), asio::detached);
 }
 
 void FakeGroup::stop()
@@ -60,20 +60,20 @@
     m_stopped = true;
 }
 
-void FakeGroup::turn(std::vector<double> demand)
+void FakeGroup::setDemand(std::vector<double> demand)
 {
     m_demand = std::move(demand);
 }
 
-void FakeGroup::slow(unsigned rank, double pace)
+void FakeGroup::setSlowdown(unsigned rank, double slowdown)
 {
-    m_paces[rank] = pace;
+    m_slowdowns[rank] = slowdown;
 }
 
 std::vector<TargetInfo> FakeGroup::targets() const
 {
     std::vector<TargetInfo> result;
-    for (unsigned rank = 0; rank < m_options.listed; ++rank) {
+    for (unsigned rank = 0; rank < m_options.listedRanks; ++rank) {
         TargetInfo info;
         info.id = "rank-" + std::to_string(rank);
         info.pool = "model";
@@ -85,45 +85,45 @@
 
 double FakeGroup::imbalance() const
 {
-    return setImbalance(m_map, m_demand, m_paces);
+    return setImbalance(m_map, m_demand, m_slowdowns);
 }
 
 void FakeGroup::beginPass()
 {
     ++m_pass;
     for (Rank &rank : m_ranks) {
-        if (rank.armed != 0 && rank.armedPass == m_pass) {
-            rank.map = rank.armed;
-            rank.armed = 0;
-            m_map = m_next;
+        if (rank.armedVersion != 0 && rank.armedPass == m_pass) {
+            rank.mapVersion = rank.armedVersion;
+            rank.armedVersion = 0;
+            m_map = m_nextMap;
         }
     }
-    switches += m_ranks.front().map != m_ranks.back().map || m_ranks.front().map == 0 ? 0 : 1;
-    twoMaps = twoMaps || std::ranges::any_of(m_ranks, [&](const Rank &rank) {
-                  return rank.map != m_ranks.front().map;
-              });
+    switches += m_ranks.front().mapVersion != m_ranks.back().mapVersion || m_ranks.front().mapVersion == 0 ? 0 : 1;
+    usedMixedMaps = usedMixedMaps || std::ranges::any_of(m_ranks, [&](const Rank &rank) {
+                        return rank.mapVersion != m_ranks.front().mapVersion;
+                    });
     const double total = std::accumulate(m_demand.begin(), m_demand.end(), 0.0);
     for (Rank &rank : m_ranks) {
         for (unsigned expert = 0; expert < m_options.experts; ++expert) {
-            rank.counts[expert] += static_cast<std::uint64_t>(kChoicesOfPass * m_demand[expert] / total);
+            rank.counts[expert] += static_cast<std::uint64_t>(kSelectionsPerPass * m_demand[expert] / total);
         }
     }
 }
 
-asio::awaitable<void> FakeGroup::passes()
+asio::awaitable<void> FakeGroup::runPasses()
 {
-    boost::system::error_code ignored; // the timer is not cancelled
+    boost::system::error_code ignored; // the timer is never cancelled
     asio::steady_timer timer(m_context);
     while (!m_stopped) {
-        const TimePoint began = now();
-        while (m_held == m_pass + 1) {
+        const TimePoint passStart = now();
+        while (m_heldPass == m_pass + 1) {
             timer.expires_after(std::chrono::milliseconds(1));
             co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         }
         beginPass();
-        timer.expires_after(std::chrono::duration_cast<std::chrono::microseconds>(m_options.calmPass * imbalance()));
+        timer.expires_after(std::chrono::duration_cast<std::chrono::microseconds>(m_options.balancedPassTime * imbalance()));
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-        m_passEnded(now() - began);
+        m_onPassEnd(now() - passStart);
     }
 }
 
@@ -172,7 +172,7 @@
     co_return std::error_code();
 }
 
-asio::awaitable<std::error_code> FakeGroup::removeLimitRecord(TargetLife /*life*/)
+asio::awaitable<std::error_code> FakeGroup::removeLimitRecord(TargetIncarnation /*incarnation*/)
 {
     co_return std::error_code();
 }
@@ -189,8 +189,8 @@
 
 asio::awaitable<LeaseRead> FakeGroup::writeLease(std::string /*group*/, LeaseRecord record)
 {
-    if (storeSilent) {
-        boost::system::error_code ignored; // the timer is not cancelled
+    if (leaseWritesTimeOut) {
+        boost::system::error_code ignored; // the timer is never cancelled
         asio::steady_timer timer(m_context, std::chrono::seconds(1));
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         co_return LeaseRead{ResultCode::StoreAnswerLost, {}};
@@ -211,19 +211,19 @@
     read.report.size = m_options.ranks;
     read.report.open = true;
     read.report.pass = m_pass;
-    read.report.map = rank.map;
-    read.report.prepared = now() >= rank.preparedAt ? rank.prepared : 0;
-    read.report.pace = m_paces[index];
-    read.report.armed = rank.armed;
+    read.report.mapVersion = rank.mapVersion;
+    read.report.preparedVersion = now() >= rank.preparedAt ? rank.preparedVersion : 0;
+    read.report.slowdown = m_slowdowns[index];
+    read.report.armedVersion = rank.armedVersion;
     read.report.armedPass = rank.armedPass;
-    read.report.heldPass = index == 0 ? m_held : std::nullopt;
-    reportsWhileHeld += m_held ? 1 : 0;
+    read.report.heldPass = index == 0 ? m_heldPass : std::nullopt;
+    reportReadsWhileHeld += m_heldPass ? 1 : 0;
     co_return read;
 }
 
 asio::awaitable<ExpertCountsRead> FakeGroup::readExpertCounts(TargetInfo target, unsigned /*layerSets*/)
 {
-    ++countsRead;
+    ++countReads;
     ExpertCountsRead read;
     read.epoch = kEpoch;
     read.pass = m_pass;
@@ -234,7 +234,7 @@
 asio::awaitable<RankPlacementRead> FakeGroup::readRankPlacement(TargetInfo target)
 {
     RankPlacementRead read;
-    read.version = m_ranks.front().map;
+    read.version = m_ranks.front().mapVersion;
     read.experts = {m_map[rankOf(target)]};
     co_return read;
 }
@@ -242,23 +242,23 @@
 OrderResult FakeGroup::prepare(unsigned rank, const RankOrder &order)
 {
     Rank &state = m_ranks[rank];
-    if (order.version <= state.prepared || state.armed != 0) {
+    if (order.version <= state.preparedVersion || state.armedVersion != 0) {
         return OrderResult::Refused;
     }
-    const bool late = rank + 1 == m_options.ranks;
-    state.prepared = order.version;
-    state.preparedAt = now() + m_options.copy + (late ? m_options.lateCopy : std::chrono::milliseconds(0));
-    m_next = order.map.front();
+    const bool isLastRank = rank + 1 == m_options.ranks;
+    state.preparedVersion = order.version;
+    state.preparedAt = now() + m_options.copyTime + (isLastRank ? m_options.lastRankCopyDelay : std::chrono::milliseconds(0));
+    m_nextMap = order.map.front();
     return OrderResult::Accepted;
 }
 
 OrderResult FakeGroup::arm(Rank &rank, const RankOrder &order) const
 {
-    const bool ready = rank.prepared == order.version && now() >= rank.preparedAt;
-    if (!ready || order.pass <= m_pass) {
+    const bool isPrepared = rank.preparedVersion == order.version && now() >= rank.preparedAt;
+    if (!isPrepared || order.pass <= m_pass) {
         return OrderResult::Refused;
     }
-    rank.armed = order.version;
+    rank.armedVersion = order.version;
     rank.armedPass = order.pass;
     return OrderResult::Accepted;
 }
@@ -276,12 +276,12 @@
         break;
     case RankOrderKind::Hold:
         if (order.pass > m_pass) {
-            m_held = order.pass;
+            m_heldPass = order.pass;
             result = OrderResult::Accepted;
         }
         break;
-    case RankOrderKind::Go:
-        m_held.reset();
+    case RankOrderKind::Release:
+        m_heldPass.reset();
         result = OrderResult::Accepted;
         break;
     }
--- a/testing/harness/gatewayfixture.h
+++ b/testing/harness/gatewayfixture.h
@@ -40,7 +40,7 @@
 "services":[{"name":"plain","max_conns":100}],
 "tenants":[{"name":"customer","api_keys":["key","second"]}]})";
 
-/** A gateway over real sockets between a caller, a stand-in of the platform's store and two runners of one pool. */
+/** A gateway with real sockets, a caller, a fake store of the platform and two fake runners of one pool. */
 class GatewayTest : public ::testing::Test
 {
 public:
@@ -58,24 +58,24 @@
         addresses["i-a"] = a.listen();
         addresses["i-b"] = b.listen();
         store.set("config", "main", json::parse(kConfiguration));
-        list("i-a");
-        list("i-b");
+        listRunner("i-a");
+        listRunner("i-b");
     }
 
-    void list(const std::string &id, const std::string &state = "ready")
+    void listRunner(const std::string &id, const std::string &state = "ready")
     {
         store.set("servers", id, standins::runnerEntry("plain", addresses[id], 4, state));
     }
 
     void start()
     {
-        GatewayEdges edges;
-        edges.protocol = std::make_unique<PlatformProtocol>();
+        GatewayAdapters adapters;
+        adapters.protocol = std::make_unique<PlatformProtocol>();
         PlatformClientOptions options;
         options.store = settings.store;
         options.storeTimeout = 200ms;
-        edges.platform = std::make_unique<PlatformClient>(context.get_executor(), clock, counters, options);
-        gateway = std::make_unique<Gateway>(context, settings, counters, std::move(edges));
+        adapters.platform = std::make_unique<PlatformClient>(context.get_executor(), clock, counters, options);
+        gateway = std::make_unique<Gateway>(context, settings, counters, std::move(adapters));
         gateway->start();
         ASSERT_TRUE(runUntil(
             [this] {
@@ -121,8 +121,8 @@
         return *answer;
     }
 
-    /** Both runners do the same with every request. */
-    void both(RunnerAct act)
+    /** Makes both runners treat every request as @p act says. */
+    void setActForBoth(RunnerAct act)
     {
         for (PlatformRunner *runner : {&a, &b}) {
             runner->act = [act](const HttpRequest &) {
@@ -131,8 +131,8 @@
         }
     }
 
-    /** The first request at any runner is treated so, the others are answered. */
-    void first(RunnerAct act)
+    /** Makes the runners treat the first request that reaches either of them as @p act says, and answer all others. */
+    void setActForFirstRequest(RunnerAct act)
     {
         auto used = std::make_shared<bool>(false);
         for (PlatformRunner *runner : {&a, &b}) {
@@ -142,8 +142,8 @@
         }
     }
 
-    /** The runners report that they are the only ranks of these groups; an empty name: of none. */
-    void joinGroups(const std::string &groupOfA, const std::string &groupOfB)
+    /** Makes each runner report that it is the only rank of the named group; an empty name: of no group. */
+    void reportGroups(const std::string &groupOfA, const std::string &groupOfB)
     {
         const auto join = [](PlatformRunner &runner, const std::string &group) {
             if (!group.empty()) {
@@ -152,19 +152,19 @@
         };
         join(a, groupOfA);
         join(b, groupOfB);
-        json::value grouped = json::parse(kConfiguration);
-        grouped.at("services").at(0).as_object()["engine"] = json::object{{"slots", 4}, {"sets", 1}, {"experts", 4}, {"placements", 2}};
-        store.set("config", "main", grouped);
+        json::value withEngine = json::parse(kConfiguration);
+        withEngine.at("services").at(0).as_object()["engine"] = json::object{{"slots", 4}, {"sets", 1}, {"experts", 4}, {"placements", 2}};
+        store.set("config", "main", withEngine);
     }
 
-    std::size_t runs() const
+    std::size_t ranRequests() const
     {
-        return a.ran.size() + b.ran.size();
+        return a.attemptsRun.size() + b.attemptsRun.size();
     }
 
-    const HttpRequest &lastSeen() const
+    const HttpRequest &lastRequest() const
     {
-        return a.seen.empty() ? b.seen.back() : a.seen.back();
+        return a.receivedRequests.empty() ? b.receivedRequests.back() : a.receivedRequests.back();
     }
 
     HostClock clock;
--- a/testing/harness/gatewayfleet.cpp
+++ b/testing/harness/gatewayfleet.cpp
@@ -30,9 +30,8 @@
 constexpr unsigned kSlots = 8;
 constexpr auto kReadyLimit = 6s;
 constexpr auto kAnswerLimit = 8s;
-constexpr const char *kGatewayHeader = "X-Gateway"; ///< of a request: the gateway that its caller chose
+constexpr const char *kGatewayHeader = "X-Gateway"; ///< request header: the gateway that the request is sent to
 
-/** A wide retry budget: it must not be what keeps a request from runners here. */
 json::value configuration(const GatewayFleetOptions &options)
 {
     json::value result = json::parse(R"({"version":3,
@@ -55,7 +54,7 @@
     : store(context)
     , m_options(options)
     , m_up(options.runners, true)
-    , m_killer(options.runners)
+    , m_crashingPath(options.runners)
     , m_hosts(options.gateways)
     , m_arrivalsAt(options.runners)
     , m_requestsAt(options.runners)
@@ -67,20 +66,20 @@
     for (unsigned i = 0; i < options.runners; ++i) {
         m_runners.push_back(std::make_unique<PlatformRunner>(context, "i-" + std::to_string(i)));
         PlatformRunner &runner = *m_runners.back();
-        runner.work = options.work;
-        runner.lossy = options.lossy;
+        runner.workTime = options.workTime;
+        runner.silentCrash = options.silentCrash;
         runner.act = [this, i](const HttpRequest &request) {
-            return choose(i, request);
+            return chooseAct(i, request);
         };
-        runner.crashed = [this, i] {
-            m_crashes[m_killer[i]].push_back(std::chrono::steady_clock::now());
-            ended(i);
+        runner.onCrash = [this, i] {
+            m_crashes[m_crashingPath[i]].push_back(std::chrono::steady_clock::now());
+            scheduleRestart(i);
         };
         if (options.group) {
             runner.report["group"] = json::object{{"name", "g"}, {"epoch", 1}, {"rank", i}, {"size", options.runners}, {"state", "open"}};
         }
         m_addresses.push_back(runner.listen(freePort()));
-        list(i);
+        listRunner(i);
     }
     for (unsigned i = 0; i < options.gateways; ++i) {
         storeProxies.push_back(std::make_unique<LoopbackProxy>(context, address));
@@ -91,32 +90,32 @@
         settings.readiness = {"127.0.0.1", freePort()};
         settings.store = storeProxies.back()->listen();
         settings.leavingBound = 500ms;
-        settings.retrySlack = 10'000;
-        settings.crashes.holdFor = options.hold;
+        settings.retrySlack = 10'000; // so that the retry budget never keeps a request from the runners
+        settings.crashes.holdTime = options.holdTime;
     }
 }
 
 GatewayFleet::~GatewayFleet() = default;
 
-void GatewayFleet::list(unsigned runner)
+void GatewayFleet::listRunner(unsigned runner)
 {
     json::object entry = standins::runnerEntry("plain", m_addresses[runner], kSlots);
-    entry["born"] = m_born + ++m_lives;
+    entry["born"] = m_firstStartTime + ++m_incarnations;
     store.set("servers", m_runners[runner]->id(), entry);
 }
 
-void GatewayFleet::refuse(unsigned index, double share, const std::string &retryAfter)
+void GatewayFleet::setRefusals(unsigned index, double share, const std::string &retryAfter)
 {
     m_refusedShare[index] = share;
     m_runners[index]->retryAfter = retryAfter;
 }
 
-/** Notes the arrival, and whether the runner turns it away. */
-bool GatewayFleet::refuses(unsigned runner, const HttpRequest &request)
+/** Records the arrival. Returns true if the runner refuses the request. */
+bool GatewayFleet::recordArrival(unsigned runner, const HttpRequest &request)
 {
     const std::string gateway(request[kGatewayHeader]);
     if (gateway.empty()) {
-        return false; // an order or a reading of counts
+        return false; // an order or a read of counts
     }
     const Time now = std::chrono::steady_clock::now();
     FleetArrival arrival{static_cast<unsigned>(std::stoul(gateway)), now, {}};
@@ -129,17 +128,17 @@
     return refused;
 }
 
-RunnerAct GatewayFleet::choose(unsigned runner, const HttpRequest &request)
+RunnerAct GatewayFleet::chooseAct(unsigned runner, const HttpRequest &request)
 {
     const std::string path(request.target());
     m_arrivals[path].push_back(std::chrono::steady_clock::now());
-    if (!request["Attempt-Id"].empty()) { // orders and readings of counts are no requests
+    if (!request["Attempt-Id"].empty()) { // orders and reads of counts are not requests
         m_arrivalsAt[runner].push_back(std::chrono::steady_clock::now());
     }
-    if (refuses(runner, request)) {
+    if (recordArrival(runner, request)) {
         return RunnerAct::Refuse;
     }
-    const bool firstTry = m_reset.insert(std::string(request["Attempt-Id"])).second;
+    const bool firstTry = m_seenAttempts.insert(std::string(request["Attempt-Id"])).second;
     if (path.find("reset") != std::string::npos && firstTry) {
         return RunnerAct::ResetUnanswered;
     }
@@ -149,38 +148,38 @@
     if (path.find("crash") == std::string::npos) {
         return RunnerAct::Answer;
     }
-    m_killer[runner] = path;
+    m_crashingPath[runner] = path;
     return RunnerAct::Crash;
 }
 
 void GatewayFleet::crashRunner(unsigned index)
 {
     m_runners[index]->end();
-    ended(index);
+    scheduleRestart(index);
 }
 
-void GatewayFleet::ended(unsigned runner)
+void GatewayFleet::scheduleRestart(unsigned runner)
 {
     m_up[runner] = false;
-    asio::co_spawn(context, comeBack(runner), asio::detached);
+    asio::co_spawn(context, restartRunner(runner), asio::detached);
 }
 
-asio::awaitable<void> GatewayFleet::comeBack(unsigned runner)
+asio::awaitable<void> GatewayFleet::restartRunner(unsigned runner)
 {
     boost::system::error_code ignored; // the timers are not cancelled
-    const std::string before = m_runners[runner]->id();
-    asio::steady_timer timer(context, m_options.back);
+    const std::string previousId = m_runners[runner]->id();
+    asio::steady_timer timer(context, m_options.restartDelay);
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     if (!m_options.sameId) {
-        m_runners[runner]->setId(before + "x");
+        m_runners[runner]->setId(previousId + "x");
     }
     m_addresses[runner] = m_runners[runner]->listen(freePort());
     m_up[runner] = true;
-    list(runner);
+    listRunner(runner);
     if (!m_options.sameId) {
-        timer.expires_after(std::max(m_options.lapse - m_options.back, 0ms));
+        timer.expires_after(std::max(m_options.entryExpiry - m_options.restartDelay, 0ms));
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-        store.remove("servers", before);
+        store.remove("servers", previousId);
     }
 }
 
@@ -205,10 +204,10 @@
     host.context = std::make_unique<asio::io_context>(1);
     PlatformClientOptions options;
     options.store = host.settings.store;
-    GatewayEdges edges;
-    edges.protocol = std::make_unique<PlatformProtocol>();
-    edges.platform = std::make_unique<PlatformClient>(host.context->get_executor(), m_clock, *host.counters, options);
-    host.gateway = std::make_unique<Gateway>(*host.context, host.settings, *host.counters, std::move(edges));
+    GatewayAdapters adapters;
+    adapters.protocol = std::make_unique<PlatformProtocol>();
+    adapters.platform = std::make_unique<PlatformClient>(host.context->get_executor(), m_clock, *host.counters, options);
+    host.gateway = std::make_unique<Gateway>(*host.context, host.settings, *host.counters, std::move(adapters));
     host.gateway->start();
 }
 
@@ -256,7 +255,7 @@
     return *answer;
 }
 
-/** One turn of every context. */
+/** Polls every event loop once. */
 void GatewayFleet::poll()
 {
     context.run_for(1ms);
@@ -267,7 +266,7 @@
     }
 }
 
-void GatewayFleet::run(std::chrono::milliseconds time)
+void GatewayFleet::runFor(std::chrono::milliseconds time)
 {
     runUntil(
         [] {
@@ -276,11 +275,11 @@
         time);
 }
 
-bool GatewayFleet::runUntilUp(unsigned runners)
+bool GatewayFleet::runUntilRunning(unsigned runners)
 {
     return runUntil(
         [this, runners] {
-            return up() >= runners;
+            return runningRunners() >= runners;
         },
         kReadyLimit);
 }
@@ -295,23 +294,23 @@
     return m_requestsAt[runner];
 }
 
-const std::vector<GatewayFleet::Time> &GatewayFleet::arrivalsAt(unsigned runner) const
+const std::vector<GatewayFleet::Time> &GatewayFleet::arrivalTimesAt(unsigned runner) const
 {
     return m_arrivalsAt[runner];
 }
 
-unsigned GatewayFleet::up() const
+unsigned GatewayFleet::runningRunners() const
 {
     return static_cast<unsigned>(std::ranges::count(m_up, true));
 }
 
-std::size_t GatewayFleet::crashes(const std::string &path) const
+std::size_t GatewayFleet::crashCount(const std::string &path) const
 {
     const auto it = m_crashes.find(path);
     return it == m_crashes.end() ? 0 : it->second.size();
 }
 
-std::size_t GatewayFleet::arrivals(const std::string &path, Time after) const
+std::size_t GatewayFleet::arrivalCount(const std::string &path, Time after) const
 {
     const auto it = m_arrivals.find(path);
     if (it == m_arrivals.end()) {
@@ -322,19 +321,19 @@
     }));
 }
 
-GatewayFleet::Time GatewayFleet::crashedAt(const std::string &path, std::size_t number) const
+GatewayFleet::Time GatewayFleet::crashTime(const std::string &path, std::size_t number) const
 {
     return m_crashes.at(path).at(number - 1);
 }
 
-bool GatewayFleet::ran(const std::string &attemptId) const
+bool GatewayFleet::attemptRan(const std::string &attemptId) const
 {
     return std::ranges::any_of(m_runners, [&](const auto &runner) {
-        return std::ranges::find(runner->ran, attemptId) != runner->ran.end();
+        return std::ranges::find(runner->attemptsRun, attemptId) != runner->attemptsRun.end();
     });
 }
 
-std::uint64_t GatewayFleet::count(const std::string &counter) const
+std::uint64_t GatewayFleet::counterSum(const std::string &counter) const
 {
     std::uint64_t sum = 0;
     for (const Host &host : m_hosts) {
--- a/testing/harness/twogroups.h
+++ b/testing/harness/twogroups.h
@@ -10,7 +10,7 @@
 namespace fulmarlink::testing
 {
 
-/** What a host knows of a pool with two rank groups, "north" (n0, n1) and "south" (s0, s1). */
+/** State of a host for one pool with two rank groups, "north" (n0, n1) and "south" (s0, s1). */
 class TwoGroups
 {
 public:
@@ -31,36 +31,36 @@
         }
     }
 
-    /** The streams of a group show such pauses; 120 ms are on time. */
-    void pace(const std::string &group, std::chrono::milliseconds pause)
+    /** Records stream events of @p group at this interval; the target interval is 120 ms. */
+    void recordIntervals(const std::string &group, std::chrono::milliseconds interval)
     {
         PoolGate &gate = state.pool("p").gate(group);
-        for (unsigned i = 0; i < PoolGate::kLeastPauses; ++i) {
-            gate.pauseSeen(pause, std::chrono::milliseconds(120), clock.now());
+        for (unsigned i = 0; i < PoolGate::kMinIntervals; ++i) {
+            gate.recordEventInterval(interval, std::chrono::milliseconds(120), clock.now());
         }
-        gate.answerSeen(clock.now());
+        gate.recordAnswer(clock.now());
     }
 
-    /** A request is open at the runner. */
-    void open(const std::string &id)
+    /** Adds an open request at the runner @p id. */
+    void addOpenRequest(const std::string &id)
     {
-        state.pool("p").gate(state.targets.groupOf(id)).workBegan(clock.now());
-        state.targets.sent(id);
+        state.pool("p").gate(state.targets.groupOf(id)).recordWorkStart(clock.now());
+        state.targets.requestSent(id);
     }
 
-    Admission ask(const std::set<std::string> &tried = {})
+    Admission admit(const std::set<std::string> &tried = {})
     {
         return admitToPool(state, "p", {.events = 20, .timeLeft = std::chrono::seconds(8)}, tried);
     }
 
-    /** Requests of @p count that go to @p group; each stays open. */
-    unsigned share(const std::string &group, unsigned count)
+    /** Admits @p count requests, which stay open, and returns how many of them went to @p group. */
+    unsigned countAdmitted(const std::string &group, unsigned count)
     {
         unsigned sum = 0;
         for (unsigned i = 0; i < count; ++i) {
-            const Admission admission = ask();
+            const Admission admission = admit();
             if (admission.target) {
-                state.targets.sent(admission.target->id);
+                state.targets.requestSent(admission.target->id);
                 sum += admission.group == group ? 1 : 0;
             }
         }
--- a/testing/runnerbackoff_test.cpp
+++ b/testing/runnerbackoff_test.cpp
@@ -1,12 +1,12 @@
-// Runners that turn requests away with 503 and Retry-After.
+// Runners that refuse requests with 503 and Retry-After.
 //
-// Seen: a runner that had sent Retry-After: 3 to a host got 17 requests from it in that time, and
-// three of five callers were refused while eleven other ranks had room. How it came about: each
-// refused request went on to the next runner, and the next request to the runner that had just
-// refused, since it looked the least loaded. Cause: a refusal was known to its own request alone;
-// nothing of it was kept with the runner. Proved by these tests: before the repair one host alone
-// shows it, without a repeat, a new configuration or a new list of runners. What counts is what
-// the runners got, by host, and which callers were refused.
+// Guards against a host that keeps sending to a runner during its Retry-After: one that had sent
+// Retry-After: 3 got 17 requests from the same host in that time, and three of five callers were
+// refused while eleven other ranks had capacity. Each refused request went on to the next runner, but
+// the refusal was known only to that request and not kept with the runner, so the next request chose
+// the runner that had just refused, since it looked the least loaded. A single host is enough to reproduce this, without a retry, a new configuration or
+// a new list of runners. The tests measure the requests each runner got from each host, and the
+// callers refused.
 
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -23,14 +23,14 @@
 
 using namespace std::chrono_literals;
 
-constexpr auto kNotice = 500ms; ///< for requests that were on their way when the runner asked
+constexpr auto kInTransit = 500ms; ///< allowance for requests in transit when the runner refused
 
-/** Requests of a gateway that reached the runner while it wanted none from there. */
+/** Number of requests that reached the runner from a gateway that it had told to back off. */
 std::size_t unwantedRequests(const std::vector<FleetArrival> &requests)
 {
     return static_cast<std::size_t>(std::ranges::count_if(requests, [&](const FleetArrival &request) {
         return std::ranges::any_of(requests, [&](const FleetArrival &refused) {
-            return refused.gateway == request.gateway && request.at > refused.at + kNotice && request.at < refused.backoffUntil;
+            return refused.gateway == request.gateway && request.at > refused.at + kInTransit && request.at < refused.backoffUntil;
         });
     }));
 }
@@ -46,10 +46,10 @@
     const char *name;
     unsigned gateways;
     unsigned runners;
-    unsigned refusing; ///< of the runners
-    double share; ///< of their requests that they turn away
+    unsigned refusing; ///< number of runners that refuse requests
+    double share; ///< fraction of their requests that they refuse
     const char *retryAfter;
-    double demand; ///< requests a second
+    double demand; ///< requests per second
     const char *path;
     bool group;
 };
@@ -70,8 +70,8 @@
 
 } // namespace
 
-// Guards against requests that go to a runner although it has sent this host a Retry-After that has not passed.
-TEST_P(RunnerBackoff, AHostSendsNothingToARunnerBeforeItsRetryAfterHasPassed)
+// Guards against sending to a runner whose Retry-After for this host has not expired.
+TEST_P(RunnerBackoff, NoRequestsAreSentBeforeRetryAfterExpires)
 {
     const Case &value = GetParam();
     GatewayFleet fleet({.gateways = value.gateways, .runners = value.runners, .group = value.group});
@@ -79,15 +79,15 @@
     FleetLoad load(fleet, value.gateways, value.demand);
     load.run(500ms, value.path);
     for (unsigned i = 0; i < value.refusing; ++i) {
-        fleet.refuse(i, value.share, value.retryAfter);
+        fleet.setRefusals(i, value.share, value.retryAfter);
     }
     load.run(5000ms, value.path);
-    fleet.run(300ms);
+    fleet.runFor(300ms);
     for (unsigned i = 0; i < value.refusing; ++i) {
         EXPECT_GE(refusals(fleet.requestsAt(i)), 1U);
         EXPECT_EQ(unwantedRequests(fleet.requestsAt(i)), 0U) << "of " << fleet.requestsAt(i).size() << " at runner " << i;
     }
-    EXPECT_EQ(load.answered(503) + load.answered(429), 0U) << "the other runners had room";
+    EXPECT_EQ(load.answered(503) + load.answered(429), 0U) << "the other runners had capacity";
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleet,
@@ -99,34 +99,34 @@
                                            Case{"SixteenHostsHalfIsTurnedAway", 16, 6, 2, 0.5, "2.5", 120, "/once/x", false}),
                          caseName);
 
-// Guards against second sends and resumed streams that do not look whether the runner has asked this host to wait.
-TEST(RunnersBackoff, HoldsForSecondSendsAndResumedStreams)
+// Guards against second sends and resumed streams that ignore the backoff.
+TEST(RunnersBackoff, AppliesToSecondSendsAndResumedStreams)
 {
     GatewayFleet fleet({.gateways = 2, .runners = 4});
     ASSERT_TRUE(fleet.start());
-    fleet.refuse(0, 1, "3");
-    fleet.refuse(1, 1, "3");
+    fleet.setRefusals(0, 1, "3");
+    fleet.setRefusals(1, 1, "3");
     FleetLoad load(fleet, 2, 40);
     load.run(2500ms, "/stream/cut");
     load.run(2500ms, "/again/reset");
-    fleet.run(300ms);
+    fleet.runFor(300ms);
     EXPECT_EQ(unwantedRequests(fleet.requestsAt(0)), 0U);
     EXPECT_EQ(unwantedRequests(fleet.requestsAt(1)), 0U);
 }
 
-// Guards against callers that are told to come back, or are sent to runners, while every runner still has time of its Retry-After left.
-TEST(RunnersBackoff, WhereAllRunnersWantNothingCallersAreRefusedAtOnceUntilTheFirstOneTakesRequests)
+// Guards against a Retry-After to callers that expires, or requests sent to runners, before the first runner's Retry-After does.
+TEST(RunnersBackoff, CallersAreRefusedAtOnceWhileAllRunnersBackOff)
 {
     constexpr unsigned kRunners = 3;
     GatewayFleet fleet({.gateways = 1, .runners = kRunners});
     ASSERT_TRUE(fleet.start());
     for (unsigned i = 0; i < kRunners; ++i) {
-        fleet.refuse(i, 1, "2");
+        fleet.setRefusals(i, 1, "2");
     }
     const auto began = std::chrono::steady_clock::now();
     ASSERT_EQ(fleet.ask(0, fleet.request("/once/x")).status, 503U);
     for (unsigned i = 0; i < kRunners; ++i) {
-        fleet.refuse(i, 0, "");
+        fleet.setRefusals(i, 0, "");
     }
     unsigned refused = 0;
     for (auto asked = began; asked < began + 1800ms; asked = std::chrono::steady_clock::now()) {
@@ -136,14 +136,14 @@
         const auto back = asked + std::chrono::duration<double>(std::stod(answer["Retry-After"]));
         EXPECT_GE(back, began + 1900ms) << "too early";
         ++refused;
-        fleet.run(100ms);
+        fleet.runFor(100ms);
     }
     EXPECT_GE(refused, 10U);
     for (unsigned i = 0; i < kRunners; ++i) {
         EXPECT_EQ(unwantedRequests(fleet.requestsAt(i)), 0U);
     }
-    fleet.run(300ms);
-    EXPECT_EQ(fleet.ask(0, fleet.request("/once/x")).status, 200U) << "they take requests again";
+    fleet.runFor(300ms);
+    EXPECT_EQ(fleet.ask(0, fleet.request("/once/x")).status, 200U) << "the runners accept requests again";
 }
 
 namespace
@@ -167,77 +167,77 @@
 
 } // namespace
 
-// Guards against a runner whose time has passed and that stays unused, and against hosts that come back to it with all that they have.
-TEST(RunnersBackoff, ItsRoomIsUsedSoonAfterItsEndAndWithoutACrowd)
+// Guards against a runner left unused after its backoff expires, and against all hosts resuming with a burst.
+TEST(RunnersBackoff, CapacityIsUsedSoonAfterExpiryWithoutABurst)
 {
     constexpr unsigned kHosts = 5;
     constexpr unsigned kRunners = 4;
     constexpr double kDemand = 100;
-    GatewayFleet fleet({.gateways = kHosts, .runners = kRunners, .work = 20ms});
+    GatewayFleet fleet({.gateways = kHosts, .runners = kRunners, .workTime = 20ms});
     ASSERT_TRUE(fleet.start());
     FleetLoad load(fleet, kHosts, kDemand);
     load.run(1000ms, "/again/x");
-    fleet.refuse(0, 1, "1.5");
+    fleet.setRefusals(0, 1, "1.5");
     load.run(800ms, "/again/x");
-    fleet.refuse(0, 0, "");
+    fleet.setRefusals(0, 0, "");
     load.run(3500ms, "/again/x");
     const auto &requests = fleet.requestsAt(0);
     const GatewayFleet::Time end = lastBackoffEnd(requests);
     EXPECT_EQ(unwantedRequests(requests), 0U);
     EXPECT_GE(arrivedBetween(requests, end, end + 250ms), 1U) << "unused";
-    EXPECT_GE(static_cast<double>(arrivedBetween(requests, end, end + 1000ms)), 0.6 * kDemand / kRunners) << "most of its part";
-    EXPECT_LE(static_cast<double>(arrivedBetween(requests, end, end + 200ms)), kHosts + 0.2 * kDemand) << "one of each host, and what comes anew";
+    EXPECT_GE(static_cast<double>(arrivedBetween(requests, end, end + 1000ms)), 0.6 * kDemand / kRunners) << "most of its share";
+    EXPECT_LE(static_cast<double>(arrivedBetween(requests, end, end + 200ms)), kHosts + 0.2 * kDemand) << "one per host, and its share of new requests";
     EXPECT_EQ(load.answered(503), 0U);
 }
 
-// Guards against a backoff that outlives the runner's process.
-TEST(RunnersBackoff, BelongsToOneLifeOfTheRunner)
+// Guards against a backoff that persists after the runner has restarted.
+TEST(RunnersBackoff, AppliesToOneIncarnationOfTheRunner)
 {
     GatewayFleet fleet({.gateways = 1, .runners = 2});
     ASSERT_TRUE(fleet.start());
-    fleet.refuse(0, 1, "60");
+    fleet.setRefusals(0, 1, "60");
     FleetLoad load(fleet, 1, 40);
     load.run(500ms, "/again/x");
     ASSERT_GE(refusals(fleet.requestsAt(0)), 1U);
-    fleet.refuse(0, 0, "");
+    fleet.setRefusals(0, 0, "");
     fleet.crashRunner(0);
-    ASSERT_TRUE(fleet.runUntilUp(2));
-    fleet.run(1000ms);
+    ASSERT_TRUE(fleet.runUntilRunning(2));
+    fleet.runFor(1000ms);
     const auto from = std::chrono::steady_clock::now();
     load.run(2000ms, "/again/x");
-    EXPECT_GE(arrivedBetween(fleet.requestsAt(0), from, from + 2000ms), 20U) << "half of its part";
+    EXPECT_GE(arrivedBetween(fleet.requestsAt(0), from, from + 2000ms), 20U) << "half of its share";
 }
 
-// Guards against text that is no number of seconds and keeps a runner out, or ends the time that another answer has named.
-TEST(RunnersBackoff, IsNotTouchedByWhatIsNoNumberOfSeconds)
+// Guards against a Retry-After that is not a number of seconds excluding the runner, or ending the backoff from another answer.
+TEST(RunnersBackoff, IgnoresMalformedRetryAfter)
 {
     GatewayFleet fleet({.gateways = 1, .runners = 2});
     ASSERT_TRUE(fleet.start());
     FleetLoad load(fleet, 1, 40);
     for (const std::string bad : {"soon", "-3", "nan", "Fri, 31 Dec 1999 23:59:59 GMT"}) {
         const std::size_t before = fleet.requestsAt(0).size();
-        fleet.refuse(0, 0.5, bad);
+        fleet.setRefusals(0, 0.5, bad);
         load.run(1000ms, "/again/x");
         EXPECT_GE(fleet.requestsAt(0).size() - before, 5U) << bad;
     }
-    EXPECT_EQ(fleet.count("fulmarlink_backoffs_total"), 0U);
-    EXPECT_GE(fleet.count("fulmarlink_malformed_backoffs_total"), 4U);
+    EXPECT_EQ(fleet.counterSum("fulmarlink_backoffs_total"), 0U);
+    EXPECT_GE(fleet.counterSum("fulmarlink_malformed_backoffs_total"), 4U);
 }
 
-// Guards against a time of nothing that is taken for a backoff, or hides that the runner refuses.
-TEST(RunnersBackoff, OfZeroSecondsIsNone)
+// Guards against treating Retry-After: 0 as a backoff, or not treating the answer as a refusal.
+TEST(RunnersBackoff, OfZeroSecondsIsIgnored)
 {
     GatewayFleet fleet({.gateways = 1, .runners = 2});
     ASSERT_TRUE(fleet.start());
-    fleet.refuse(0, 0.5, "0");
+    fleet.setRefusals(0, 0.5, "0");
     FleetLoad load(fleet, 1, 40);
     load.run(1000ms, "/again/x");
     EXPECT_GE(fleet.requestsAt(0).size(), 5U);
-    EXPECT_EQ(fleet.count("fulmarlink_backoffs_total"), 0U);
+    EXPECT_EQ(fleet.counterSum("fulmarlink_backoffs_total"), 0U);
     EXPECT_EQ(load.answered(503), 0U);
 }
 
-// Guards against ranks that ask one host to wait and are taken for a group that stands still.
+// Guards against closing a group because some of its ranks asked a host to back off.
 TEST(RunnersBackoff, OfSomeRanksDoesNotCloseTheirGroup)
 {
     constexpr unsigned kRanks = 8;
@@ -247,21 +247,21 @@
     FleetLoad load(fleet, kHosts, 60);
     load.run(1000ms, "/stream/x");
     for (unsigned i = 0; i + 1 < kRanks; ++i) {
-        fleet.refuse(i, 1, "1");
+        fleet.setRefusals(i, 1, "1");
     }
     load.run(500ms, "/stream/x");
-    const std::size_t learning = load.answered(503);
-    EXPECT_LE(learning, kHosts) << "each host may meet as many of them with one request as a request has sends";
+    const std::size_t refusedInitially = load.answered(503);
+    EXPECT_LE(refusedInitially, kHosts) << "a request of each host may use all its sends on ranks that refuse it";
     load.run(4000ms, "/stream/x");
-    EXPECT_EQ(load.answered(503), learning) << "one rank has room";
+    EXPECT_EQ(load.answered(503), refusedInitially) << "one rank has capacity";
 }
 
-TEST(RunnerBackoffMutation, AHostThatIgnoresBackoffsIsCaught)
+TEST(RunnerBackoffMutation, HostThatIgnoresBackoffsIsDetected)
 {
     const ScopedMutation scoped(Mutation::IgnoreBackoff);
     GatewayFleet fleet({.gateways = 1, .runners = 2});
     ASSERT_TRUE(fleet.start());
-    fleet.refuse(0, 1, "3");
+    fleet.setRefusals(0, 1, "3");
     FleetLoad load(fleet, 1, 60);
     load.run(2500ms, "/again/x");
     EXPECT_GT(unwantedRequests(fleet.requestsAt(0)), 0U);
