--- a/standins/platformfleet.h
+++ b/standins/platformfleet.h
@@ -84,7 +84,7 @@
     ResetUnanswered, ///< runs it and resets the connection
     Silent, ///< runs it and sends no response
     StrayFirst, ///< sends the response to another request before the correct one
-    Unsealed, ///< sends a response without the signature header (Server-Seal)
+    Unsealed, ///< sends a response without the signature header
     WithoutLength, ///< sends a response without a length, delimited by the end of the connection
     Truncated, ///< closes the connection in the middle of the body
     StrayLast, ///< sends a second response after the correct one
